--- a/benchmarks/storm_cost.py
+++ b/benchmarks/storm_cost.py
@@ -85,9 +85,13 @@
         if rejection is not None:
             continue
         event = api.MessageArrived(
-            request.message, request.cls.name, request.destination, request.left_ns, key=request.key
+            request.message,
+            request.message_class.name,
+            request.destination,
+            request.remaining_ns,
+            key=request.key,
         )
-        governor.message_arrived(now, event, request.cls)
+        governor.message_arrived(now, event, request.message_class)
         held.append(request)
         if len(held) > MAX_HELD:
             closed = held.popleft()
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -259,7 +259,9 @@
                         MESSAGE_CLASSES[taken.class_name],
                         seen.first_delivered_at_seconds[id_] - load.submitted[taken.token].at_seconds,
                     )
-                    share = max(cls.late_worth, 0.5 ** max(0.0, late / (cls.aim_ns / 1e9) - 1.0))
+                    share = max(
+                        cls.late_worth, 0.5 ** max(0.0, late / (cls.latency_objective_ns / 1e9) - 1.0)
+                    )
                     best[taken.token] = max(best.get(taken.token, 0.0), cls.worth * share)
             asked = sum(MESSAGE_CLASSES[cls].worth for cls, _ in load.submitted.values())
             open_ = sum(not seen.has_final_answer(id_) for id_ in load.accepted)
--- a/benchmarks/undelivered.py
+++ b/benchmarks/undelivered.py
@@ -31,8 +31,8 @@
     ExecutionEvidence,
     FailureHistory,
 )
-from winchspan.dead_letters.store import FILE, DeadLetterStore
-from winchspan.dead_letters.store_eviction import Bounds
+from winchspan.dead_letters.store import STORE_FILE_NAME, DeadLetterStore
+from winchspan.dead_letters.store_eviction import StoreBounds
 from winchspan.fakes.clients import Stream
 from winchspan.fakes.partner import Mode, Outage, PartnerSettings
 from winchspan.fakes.rehearsal import Rehearsal
@@ -105,7 +105,7 @@
 
 def read_store(directory: Path) -> list[DeadLetter]:
     """Return all messages of a courier's store."""
-    store = DeadLetterStore(directory / FILE, Bounds(), read_only=True)
+    store = DeadLetterStore(directory / STORE_FILE_NAME, StoreBounds(), read_only=True)
     dead_letters = store.find(DeadLetterFilter(), ALL_MESSAGES)
     store.close()
     return dead_letters
@@ -273,7 +273,7 @@
 
 def fill_with_approved(directory: Path, count: int) -> None:
     """Make a store of so many messages whose redelivery is approved."""
-    store = DeadLetterStore(directory / FILE, Bounds(200_000_000, 1_000_000))
+    store = DeadLetterStore(directory / STORE_FILE_NAME, StoreBounds(200_000_000, 1_000_000))
     history = FailureHistory("out of time", 1_699_999_000_000.0, (), 3, DestinationSnapshot())
     store.add(
         [
@@ -362,7 +362,7 @@
 def print_large_store(count: int) -> None:
     """Print the times of filters over so many messages."""
     with tempfile.TemporaryDirectory() as folder:
-        store = DeadLetterStore(Path(folder) / FILE, Bounds(2_000_000_000, 10_000_000))
+        store = DeadLetterStore(Path(folder) / STORE_FILE_NAME, StoreBounds(2_000_000_000, 10_000_000))
         for first in range(0, count, 1_000):
             store.add([varied_dead_letter(number) for number in range(first, first + 1_000)], NOW_MS)
         before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -45,7 +45,7 @@
 from winchspan.dead_letters.policy import RedeliveryPolicy, RedeliveryRule
 from winchspan.dead_letters.record_codec import failure_history_from_json
 from winchspan.dead_letters.store import DeadLetterStore
-from winchspan.dead_letters.store_eviction import Bounds
+from winchspan.dead_letters.store_eviction import StoreBounds
 from winchspan.leases import messages as leases
 from winchspan.leases.commands import AssignRole, SetReplicaPlacement, TakeoverCompleted
 from winchspan.leases.lease_table import LeaseTable
@@ -374,7 +374,7 @@
         )
 
 
-BOUNDS = Bounds(4_000_000, 1_000, 30.0, audit_entry_count=5)
+BOUNDS = StoreBounds(4_000_000, 1_000, 30.0, audit_entry_count=5)
 
 
 def write_store(folder: Path) -> None:
--- a/tests/dead_letter_world.py
+++ b/tests/dead_letter_helpers.py
@@ -24,8 +24,8 @@
     FailureHistory,
 )
 from winchspan.dead_letters.redelivery import RedeliveryPorts, RedeliveryWorker
-from winchspan.dead_letters.store import FILE, DeadLetterStore
-from winchspan.dead_letters.store_eviction import Bounds
+from winchspan.dead_letters.store import STORE_FILE_NAME, DeadLetterStore
+from winchspan.dead_letters.store_eviction import StoreBounds
 from winchspan.delivery.messages import AttemptResult, SubmittedMessage
 from winchspan.runtime.clock import ManualClock
 from winchspan.runtime.timers import TimerQueue
@@ -35,7 +35,7 @@
 TIMEOUT_SECONDS = 30.0
 NOW_MS = 1_700_000_000_000.0
 KEY = 0xFFFF_FFFF_FFFF_FFFF_FFFF
-BOUNDS = Bounds(4_000_000, 1_000, 30.0)
+BOUNDS = StoreBounds(4_000_000, 1_000, 30.0)
 CLASSES = {
     "pay": MessageClass("pay", 2.0, 4 * 10**9, 24 * 10**9, 0.4, Effect.KEYED, 10 * 10**9, ordered=True),
     "zoned": MessageClass("zoned", 2.0, 4 * 10**9, 24 * 10**9, 0.4, Effect.KEYED, 10 * 10**9, True),
@@ -88,8 +88,8 @@
 
 def make_audited_store(directory: Path, action_count: int) -> Path:
     """Make a store with a bound of ten operators' actions, and so many of them."""
-    path = directory / FILE
-    store = DeadLetterStore(path, Bounds(audit_entry_count=10))
+    path = directory / STORE_FILE_NAME
+    store = DeadLetterStore(path, StoreBounds(audit_entry_count=10))
     store.add([make_dead_letter(1)], 0.0)
     for number in range(action_count):
         action = AuditedAction(float(number), "operator-1", "resend", f"act {number}")
@@ -141,7 +141,7 @@
         self.loop = ManualLoop()
         self.archiver_type = archiver_type
         self.archivers: list[DeadLetterArchiver] = []
-        self.path = directory / FILE
+        self.path = directory / STORE_FILE_NAME
         self.settings = ArchiverSettings(self.path, BOUNDS)
         self.world = World(directory, keeps=self._create_archiver, **changes)  # type: ignore[arg-type]
 
--- a/tests/delivery_world.py
+++ b/tests/delivery_world.py
@@ -100,7 +100,7 @@
         self.folder, self.kind, self.disk, self.keeps = folder, kind, disk, keeps
         classes = CLASSES | {"keyed": KEYED}
         values = settings(**{"classes": classes} | changes)
-        self.settings = replace(values, ends_are_heard=True, can_recall=True)
+        self.settings = replace(values, notifications_are_acknowledged=True, can_recall=True)
         self.clock, self.slow_start = ManualClock(), 0.0
         self.start()
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -90,7 +90,7 @@
         rows = tuple(
             api.EndpointEntry(e, d, kind=kind, rating=rating) for d, es in endpoints.items() for e in es
         )
-        self.do(api.EndpointsUpdated(api.UpdateScope.WHOLE, rows))
+        self.do(api.EndpointsUpdated(api.UpdateScope.SNAPSHOT, rows))
 
     def put(
         self,
@@ -122,7 +122,8 @@
         if final:
             self.final.setdefault(message, "served")
         return self.do(
-            api.AttemptCompleted(message, number, endpoint, outcome, final=final, wait_ns=wait), after=after
+            api.AttemptCompleted(message, number, endpoint, outcome, is_final=final, wait_ns=wait),
+            after=after,
         )
 
     def sends(self, message: str) -> int:
--- a/tests/network_fakes.py
+++ b/tests/network_fakes.py
@@ -114,7 +114,7 @@
     """Takes every message, or none."""
 
     def __init__(self) -> None:
-        self.taken: list[tuple[object, ...]] = []
+        self.accepted_messages: list[tuple[object, ...]] = []
         self.ages: list[float] = []
         self.withdrawn: list[int] = []
         self.busy = False
@@ -124,8 +124,8 @@
             raise RejectedError(2_000.0)
         *fields, age_ms = astuple(submitted)
         self.ages.append(age_ms)
-        self.taken.append(tuple(fields))
-        return len(self.taken) - 1
+        self.accepted_messages.append(tuple(fields))
+        return len(self.accepted_messages) - 1
 
     def withdraw(self, handle: int) -> None:
         self.withdrawn.append(handle)
@@ -234,10 +234,10 @@
             tuple[list[bytes], Callable[[HttpCallResult], None], Callable[[bytes], None] | None]
         ] = []
         self.cancelled = 0
-        self.shut: list[HttpPeer] = []
+        self.peers_closed_idle: list[HttpPeer] = []
 
     def close_idle(self, peer: HttpPeer) -> None:
-        self.shut.append(peer)
+        self.peers_closed_idle.append(peer)
 
     def start_call(
         self,
--- a/tests/overload_fixture.py
+++ b/tests/overload_fixture.py
@@ -50,7 +50,7 @@
         rejection = self.governor.admit(self.now, request)
         if rejection is None:
             self.governor.message_arrived(
-                self.now, api.MessageArrived(request.message, cls.name, dest, request.left_ns), cls
+                self.now, api.MessageArrived(request.message, cls.name, dest, request.remaining_ns), cls
             )
         return rejection
 
--- a/tests/scheduling_traffic.py
+++ b/tests/scheduling_traffic.py
@@ -30,6 +30,6 @@
             while world.sends(name) < 2:
                 world.do(after=5 * MS)
         world.do(
-            *(api.AttemptCompleted(name, 1, 11, Outcome.DELIVERED, final=True) for name in names),
+            *(api.AttemptCompleted(name, 1, 11, Outcome.DELIVERED, is_final=True) for name in names),
             after=50 * MS,
         )
--- a/tests/slow_start_fleet.py
+++ b/tests/slow_start_fleet.py
@@ -262,12 +262,12 @@
 
     def _listing(self, now: int) -> api.EndpointsUpdated:
         if self.day.fault is Fault.RELEASE and self.outage_ns <= now < self.return_ns:
-            return api.EndpointsUpdated(api.UpdateScope.WHOLE, ())
+            return api.EndpointsUpdated(api.UpdateScope.SNAPSHOT, ())
         listed = self.endpoints if now > self.start_ns else self.endpoints[: self.day.endpoints]
         rows = tuple(
             api.EndpointEntry(each, DESTINATION, rating=self.capacity_per_s / 1.3) for each in listed
         )
-        return api.EndpointsUpdated(api.UpdateScope.WHOLE, rows)
+        return api.EndpointsUpdated(api.UpdateScope.SNAPSHOT, rows)
 
     def _restart(self, now: int, number: int) -> None:
         """Replace a sender by a new one that recovers what the journal would hold."""
@@ -283,8 +283,8 @@
                 api.SlowStartRecovered(record.destination, record.phase, ago_ns, record.calls_per_s)
             )
         for message, held in sender.held.items():
-            left_ns = max(0, held.arrived_ns + DEADLINE_NS - now)
-            arrived = api.MessageArrived(message, CLASS.name, DESTINATION, left_ns)
+            remaining_ns = max(0, held.arrived_ns + DEADLINE_NS - now)
+            arrived = api.MessageArrived(message, CLASS.name, DESTINATION, remaining_ns)
             ran_ago_ns = None if held.maybe_ran_ns is None else now - held.maybe_ran_ns
             events.append(
                 api.MessageRecovered(arrived, held.attempt_count, ran_ago_ns, "", held.is_in_flight)
@@ -374,7 +374,7 @@
             self.result.in_time += now - held.arrived_ns <= AIM_NS
             del sender.held[call.message]
         event = api.AttemptCompleted(
-            call.message, call.attempt, call.endpoint, outcome, now - call.sent_ns, final=is_delivered
+            call.message, call.attempt, call.endpoint, outcome, now - call.sent_ns, is_final=is_delivered
         )
         self._drive(now, call.sender, [event])
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -366,7 +366,7 @@
     calls = state.courier.calls
     assert not state.is_out_of_service and state.courier.idle_connections == [] and list(calls) == [0]
     (busy,) = state.courier.call_states
-    assert (busy.peer.number, busy.unread, busy.response_deadline_ms) == (1, b"", None)
+    assert (busy.peer.endpoint_number, busy.unread, busy.response_deadline_ms) == (1, b"", None)
     assert not busy.is_closing_after_call
     assert [(one.id, one.idempotency_key, one.body) for one in busy.context.sent_messages] == [
         ("c9976ef6b12346aa", "f52129f3b3c09ee2", b"body 0"),
@@ -375,7 +375,7 @@
     told: list[api.EndpointsUpdated] = []
     group = EndpointDirectory(told.append)
     group.import_state(state.courier.endpoint_directory)
-    assert {row.endpoint: (row.destination, row.listing) for row in told[0].rows} == {
+    assert {row.endpoint: (row.destination, row.status) for row in told[0].rows} == {
         1: (7, api.EndpointStatus.IN_SERVICE),
         2: (8, api.EndpointStatus.DRAINING),
     }
--- a/tests/test_config_transitions.py
+++ b/tests/test_config_transitions.py
@@ -15,7 +15,7 @@
 from winchspan.api import Effect, Outcome
 from winchspan.config.platform import ConfigError, load_platform_config, reload_platform_config
 from winchspan.config.settings import message_class_from_json, message_class_to_json
-from winchspan.config.transitions import CLASS_SWITCH_MS, transitional_classes, with_attempt_limits
+from winchspan.config.transitions import CLASS_TRANSITION_MS, transitional_classes, with_attempt_limits
 from winchspan.delivery.errors import BadRequestError
 from winchspan.delivery.messages import AttemptResult
 from winchspan.scheduling.scheduler import Scheduler
@@ -50,7 +50,7 @@
     world.courier.reconfigure(
         replace(changed_settings(world, safe=replace(CLASSES["safe"], effect=Effect.ONCE)), max_attempts=9)
     )
-    world.run(int(CLASS_SWITCH_MS) + 10)
+    world.run(int(CLASS_TRANSITION_MS) + 10)
     world.put("new")
     for _ in range(6):
         for sent in list(world.out.sent):
@@ -70,7 +70,7 @@
     world.courier.reconfigure(changed_settings(world, drop="safe", fresh=CLASSES["safe"]))
     assert world.put("a", "fresh") >= 0
     assert world.put("b", "safe") >= 0
-    world.run(int(CLASS_SWITCH_MS) + 10)
+    world.run(int(CLASS_TRANSITION_MS) + 10)
     with pytest.raises(BadRequestError, match="unknown class"):
         world.put("c", "safe")
     assert world.courier.metrics.completed_counts["errored"]["fresh"] == 0
@@ -110,7 +110,7 @@
 def test_scheduler_reconfigured_to_fewer_slots_releases_them_as_calls_complete():
     sender = Scheduler(settings(slots=4, classes=CLASSES), 1)
     rows = tuple(api.EndpointEntry(n, n) for n in range(1, 9))
-    sender.handle(SECOND, [api.EndpointsUpdated(api.UpdateScope.WHOLE, rows)])
+    sender.handle(SECOND, [api.EndpointsUpdated(api.UpdateScope.SNAPSHOT, rows)])
     sender.handle(2 * SECOND, [api.MessageArrived(f"m{n}", "safe", n, 15 * SECOND) for n in range(1, 9)])
     assert len(sender.running) == 4
     sender.reconfigure(settings(slots=2))
--- a/tests/test_dead_letters_archiver.py
+++ b/tests/test_dead_letters_archiver.py
@@ -18,7 +18,7 @@
 from winchspan.dead_letters.store import DeadLetterStore
 from winchspan.storage.journal import Journal
 
-from .dead_letter_world import BOUNDS, TIMEOUT_SECONDS, ArchivingCourier, StalledArchiver
+from .dead_letter_helpers import BOUNDS, TIMEOUT_SECONDS, ArchivingCourier, StalledArchiver
 from .delivery_world import OK
 from .test_end_to_end import ask, free_port, partner, start, wait_for
 
@@ -139,7 +139,7 @@
         courier.fail_message(name)
         courier.acknowledge_notification(name)
         courier.loop.run_calls(2)
-    assert courier.world.open() == [] and courier.archivers[-1].lost_count == 2
+    assert courier.world.open() == [] and courier.archivers[-1].unstored_count == 2
 
 
 def test_archiver_stalled_thread_bounds_what_waits(tmp_path: Path):
@@ -151,7 +151,9 @@
     done = list[int]()
     for number in range(100):
         archiver.archive(entry, lambda n=number: done.append(n))  # type: ignore[misc]
-    assert 0 < len(done) < 60 and archiver.lost_count == len(done), "what does not fit is completed at once"
+    assert 0 < len(done) < 60 and archiver.unstored_count == len(done), (
+        "what does not fit is completed at once"
+    )
 
 
 def test_journal_without_room_for_the_history_records_the_notification(tmp_path: Path):
--- a/tests/test_dead_letters_audit_log.py
+++ b/tests/test_dead_letters_audit_log.py
@@ -9,10 +9,16 @@
 
 from winchspan.dead_letters.audit_log import AuditedAction
 from winchspan.dead_letters.records import DeadLetterState
-from winchspan.dead_letters.store import FILE, DeadLetterStore
-from winchspan.dead_letters.store_eviction import Bounds
+from winchspan.dead_letters.store import STORE_FILE_NAME, DeadLetterStore
+from winchspan.dead_letters.store_eviction import StoreBounds
 
-from .dead_letter_world import BOUNDS, RedeliveringCourier, make_audited_store, make_dead_letter, run_command
+from .dead_letter_helpers import (
+    BOUNDS,
+    RedeliveringCourier,
+    make_audited_store,
+    make_dead_letter,
+    run_command,
+)
 
 
 @pytest.mark.parametrize(
@@ -56,11 +62,16 @@
 
 
 def test_audit_log_command_on_the_file_trims_nothing(tmp_path: Path):
-    store = DeadLetterStore(tmp_path / FILE, Bounds(audit_entry_count=10**6))
+    store = DeadLetterStore(tmp_path / STORE_FILE_NAME, StoreBounds(audit_entry_count=10**6))
     store.add([make_dead_letter(n) for n in range(11_005)], 0.0, "operator-1", "a file")
     store.close()
     run_command(tmp_path, "hold", "1", "--why", "to be looked at")
-    assert DeadLetterStore(tmp_path / FILE, BOUNDS, read_only=True).read_audit_log(0, 1).first_sequence == 1
+    assert (
+        DeadLetterStore(tmp_path / STORE_FILE_NAME, BOUNDS, read_only=True)
+        .read_audit_log(0, 1)
+        .first_sequence
+        == 1
+    )
 
 
 @pytest.mark.parametrize(
@@ -87,6 +98,6 @@
         db.executescript("DROP TABLE trail_start; PRAGMA user_version = 1;")
     before = DeadLetterStore(path, BOUNDS, read_only=True).read_audit_log()
     assert len(before.entries) == 8, "tools read it as it is"
-    store = DeadLetterStore(path, Bounds(audit_entry_count=10))
+    store = DeadLetterStore(path, StoreBounds(audit_entry_count=10))
     store.update(1, DeadLetterState.PENDING, action=AuditedAction(9.0, "operator-2", "resend"))
     assert store.read_audit_log().entries[:8] == before.entries and len(store.read_audit_log().entries) == 9
--- a/tests/test_dead_letters_evidence.py
+++ b/tests/test_dead_letters_evidence.py
@@ -10,7 +10,7 @@
 from winchspan.dead_letters import evidence
 from winchspan.dead_letters.records import AttemptHistory, ExecutionEvidence
 
-from .dead_letter_world import CLASSES, NOW_MS, make_dead_letter
+from .dead_letter_helpers import CLASSES, NOW_MS, make_dead_letter
 
 OUTCOMES = ["delivered", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "not_sent"]
 
@@ -57,7 +57,7 @@
         "message_class": CLASSES["pay"],
         "grace_ms": 50.0,
     }
-    assert reason in evidence.end_reason(evidence.EndCircumstances(**(plain | changes)))
+    assert reason in evidence.failure_reason(evidence.FailureContext(**(plain | changes)))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_dead_letters_operator_actions.py
+++ b/tests/test_dead_letters_operator_actions.py
@@ -6,11 +6,11 @@
 from pathlib import Path
 
 from winchspan.api import Outcome
-from winchspan.dead_letters.operator_actions import imported
+from winchspan.dead_letters.operator_actions import prepare_import
 from winchspan.dead_letters.records import DeadLetterState, ExecutionEvidence
 from winchspan.delivery.messages import AttemptResult
 
-from .dead_letter_world import RedeliveringCourier, run_command
+from .dead_letter_helpers import RedeliveringCourier, run_command
 
 
 def test_release_payment_that_may_have_run_is_sent_only_once_signed(tmp_path: Path):
@@ -120,7 +120,7 @@
     courier.archive_message()
     courier.run_redelivery_round()
     (dead_letter,) = courier.stored()
-    found = imported(replace(dead_letter, execution_evidence=ExecutionEvidence.NEVER_RAN), "x")
+    found = prepare_import(replace(dead_letter, execution_evidence=ExecutionEvidence.NEVER_RAN), "x")
     assert (found.state, found.execution_evidence) == (
         DeadLetterState.ON_HOLD,
         ExecutionEvidence.MAY_HAVE_RUN,
--- a/tests/test_dead_letters_policy.py
+++ b/tests/test_dead_letters_policy.py
@@ -15,12 +15,12 @@
     RedeliveryAction,
     RedeliveryDecision,
     RedeliveryPolicy,
-    RedeliveryRate,
+    RedeliveryRateLimiter,
     RedeliveryRule,
 )
 from winchspan.dead_letters.records import CLOSED_STATES, DeadLetter, DeadLetterState, ExecutionEvidence
 
-from .dead_letter_world import CLASSES, NOW_MS, make_dead_letter
+from .dead_letter_helpers import CLASSES, NOW_MS, make_dead_letter
 
 ANY = RedeliveryRule("any", evidence=(ExecutionEvidence.NEVER_RAN, ExecutionEvidence.MAY_HAVE_RUN))
 
@@ -66,7 +66,7 @@
 )
 def test_rule_matches_only_what_it_names(changes: dict[str, Any], fits: bool):
     found = decide(make_dead_letter(), replace(ANY, **changes)).action
-    assert found is (RedeliveryAction.SEND if fits else RedeliveryAction.LEAVE)
+    assert found is (RedeliveryAction.SEND if fits else RedeliveryAction.SKIP)
 
 
 def test_rule_limits_of_time_and_number_apply():
@@ -75,14 +75,17 @@
     )
     again = make_dead_letter(redelivery_count=2)
     assert decide(again, replace(ANY, backoff_ms=1_000.0)).next_check_unix_ms == NOW_MS + 2_000.0
-    assert decide(make_dead_letter(redelivery_count=3), ANY).action is RedeliveryAction.LEAVE
-    assert decide(make_dead_letter(), ANY, at=NOW_MS + 25 * HOUR_MS).action is RedeliveryAction.LEAVE
-    assert decide(make_dead_letter(), replace(ANY, needs_approval=True)).action is RedeliveryAction.ASK
+    assert decide(make_dead_letter(redelivery_count=3), ANY).action is RedeliveryAction.SKIP
+    assert decide(make_dead_letter(), ANY, at=NOW_MS + 25 * HOUR_MS).action is RedeliveryAction.SKIP
+    assert (
+        decide(make_dead_letter(), replace(ANY, needs_approval=True)).action
+        is RedeliveryAction.AWAIT_APPROVAL
+    )
     assert (
         decide(make_dead_letter(), replace(ANY, needs_approval=True), approved=True).action
         is RedeliveryAction.SEND
     )
-    assert decide(make_dead_letter(state=DeadLetterState.REDELIVERING), ANY).action is RedeliveryAction.LEAVE
+    assert decide(make_dead_letter(state=DeadLetterState.REDELIVERING), ANY).action is RedeliveryAction.SKIP
     assert decide(make_dead_letter(class_name="gone"), ANY).action is RedeliveryAction.HOLD
 
 
@@ -98,7 +101,7 @@
 
 
 def test_rate_clock_set_back_does_not_stop_the_rule():
-    rate, one = RedeliveryRate(), replace(ANY, rate=2.0)
+    rate, one = RedeliveryRateLimiter(), replace(ANY, rate=2.0)
     sent = []
     for step in range(100):
         if rate.may_send(NOW_MS + step * 50, one):
--- a/tests/test_dead_letters_queries.py
+++ b/tests/test_dead_letters_queries.py
@@ -10,10 +10,10 @@
 from winchspan.cli.__main__ import main as cli
 from winchspan.dead_letters.policy import RedeliveryPolicy
 from winchspan.dead_letters.queries import QueryEnvironment, execute, parse_arguments
-from winchspan.dead_letters.store import FILE, DeadLetterStore
-from winchspan.dead_letters.store_eviction import Bounds
+from winchspan.dead_letters.store import STORE_FILE_NAME, DeadLetterStore
+from winchspan.dead_letters.store_eviction import StoreBounds
 
-from .dead_letter_world import (
+from .dead_letter_helpers import (
     BOUNDS,
     UNLIMITED_RULE,
     ArchivingCourier,
@@ -65,7 +65,7 @@
 
 
 def test_audit_log_longer_than_a_page_is_read_completely(tmp_path: Path):
-    store = DeadLetterStore(tmp_path / FILE, Bounds())
+    store = DeadLetterStore(tmp_path / STORE_FILE_NAME, StoreBounds())
     store.add([make_dead_letter(n) for n in range(450)], 0.0, "operator-1", "a file")
     store.close()
     assert run_command(tmp_path, "trail").count("import message") == 450
@@ -75,7 +75,7 @@
             execute(
                 "trail",
                 parse_arguments("trail", {"most": 10**9}),
-                QueryEnvironment(DeadLetterStore(tmp_path / FILE, BOUNDS, read_only=True), 0.0),
+                QueryEnvironment(DeadLetterStore(tmp_path / STORE_FILE_NAME, BOUNDS, read_only=True), 0.0),
             )["entries"]
         )
         == 200
--- a/tests/test_dead_letters_record_codec.py
+++ b/tests/test_dead_letters_record_codec.py
@@ -19,7 +19,7 @@
 )
 from winchspan.dead_letters.records import AttemptHistory, DestinationSnapshot, FailureHistory
 
-from .dead_letter_world import make_dead_letter
+from .dead_letter_helpers import make_dead_letter
 
 HISTORY = FailureHistory(
     "out of time",
--- a/tests/test_dead_letters_redelivery.py
+++ b/tests/test_dead_letters_redelivery.py
@@ -29,7 +29,7 @@
 from winchspan.runtime.clock import ManualClock
 from winchspan.runtime.timers import TimerQueue
 
-from .dead_letter_world import BOUNDS, UNLIMITED_RULE, RedeliveringCourier
+from .dead_letter_helpers import BOUNDS, UNLIMITED_RULE, RedeliveringCourier
 from .delivery_world import OK
 
 
--- a/tests/test_dead_letters_store.py
+++ b/tests/test_dead_letters_store.py
@@ -21,9 +21,9 @@
 from winchspan.dead_letters.filters import DeadLetterFilter
 from winchspan.dead_letters.records import DeadLetter, DeadLetterState, ExecutionEvidence, FailureHistory
 from winchspan.dead_letters.store import DeadLetterStore, open_or_replace
-from winchspan.dead_letters.store_eviction import Bounds
+from winchspan.dead_letters.store_eviction import StoreBounds
 
-from .dead_letter_world import BOUNDS, KEY, NOW_MS, has_effect, make_dead_letter
+from .dead_letter_helpers import BOUNDS, KEY, NOW_MS, has_effect, make_dead_letter
 
 ROOT = Path(__file__).parent.parent
 
@@ -152,7 +152,7 @@
 import sys
 from pathlib import Path
 sys.path.insert(0, {root!r})
-from tests.dead_letter_world import BOUNDS, NOW_MS, has_effect, make_dead_letter
+from tests.dead_letter_helpers import BOUNDS, NOW_MS, has_effect, make_dead_letter
 from winchspan.dead_letters.records import DeadLetterState
 from winchspan.dead_letters.store import DeadLetterStore
 store = DeadLetterStore(Path({path!r}), BOUNDS, has_effect)
@@ -199,7 +199,7 @@
     def begin(self) -> None:
         self.directory = TemporaryDirectory()
         self.store = DeadLetterStore(
-            Path(self.directory.name) / "x", Bounds(4_000_000, self.COUNT, 30.0), has_effect
+            Path(self.directory.name) / "x", StoreBounds(4_000_000, self.COUNT, 30.0), has_effect
         )
         self.model: dict[int, DeadLetter] = {}
         self.next = 1
--- a/tests/test_dead_letters_store_eviction.py
+++ b/tests/test_dead_letters_store_eviction.py
@@ -11,9 +11,9 @@
 from winchspan.dead_letters.filters import DeadLetterFilter
 from winchspan.dead_letters.records import DeadLetterState, ExecutionEvidence
 from winchspan.dead_letters.store import DeadLetterStore
-from winchspan.dead_letters.store_eviction import Bounds
+from winchspan.dead_letters.store_eviction import StoreBounds
 
-from .dead_letter_world import BOUNDS, NOW_MS, has_effect, make_dead_letter
+from .dead_letter_helpers import BOUNDS, NOW_MS, has_effect, make_dead_letter
 
 
 @pytest.fixture
@@ -44,7 +44,7 @@
 
 
 def test_store_beyond_the_byte_bound_evicts_expired_messages_first(path: Path):
-    bounds = Bounds(2_000_000, 10**6, 1.0)
+    bounds = StoreBounds(2_000_000, 10**6, 1.0)
     store = DeadLetterStore(path, bounds, has_effect)
     store.add([make_dead_letter(0, "pay", ExecutionEvidence.MAY_HAVE_RUN, NOW_MS)], NOW_MS)
     for n in range(1, 400):
--- a/tests/test_net_attempt_transport.py
+++ b/tests/test_net_attempt_transport.py
@@ -36,12 +36,18 @@
         (http_result(504), Outcome.NOT_SENT, False, 0, False),
         (http_result(410), Outcome.NOT_SENT, True, 0, False),
         (HttpCallResult(HttpCallOutcome.NOT_WRITTEN), Outcome.CONNECT_FAILED, False, 0, False),
-        (HttpCallResult(HttpCallOutcome.BROKEN), Outcome.RESET, False, 0, False),
+        (HttpCallResult(HttpCallOutcome.CONNECTION_LOST), Outcome.RESET, False, 0, False),
         (HttpCallResult(HttpCallOutcome.TIMED_OUT), Outcome.TIMEOUT, False, 0, False),
         (HttpCallResult(HttpCallOutcome.RECALLED), Outcome.NOT_SENT, False, 0, False),
         (HttpCallResult(HttpCallOutcome.CANCELLED), Outcome.CANCELLED, False, 0, False),
-        (HttpCallResult(HttpCallOutcome.SPOILT), Outcome.ERROR, False, 0, False),
-        (HttpCallResult(HttpCallOutcome.SPOILT, first_line_status=500), Outcome.ERROR, False, 0, False),
+        (HttpCallResult(HttpCallOutcome.INVALID_RESPONSE), Outcome.ERROR, False, 0, False),
+        (
+            HttpCallResult(HttpCallOutcome.INVALID_RESPONSE, first_line_status=500),
+            Outcome.ERROR,
+            False,
+            0,
+            False,
+        ),
     ],
 )
 def test_read_results_single_message_maps_call_result_to_outcome(
@@ -91,7 +97,12 @@
 
 @pytest.mark.parametrize(
     "fate",
-    [HttpCallOutcome.SPOILT, HttpCallOutcome.BROKEN, HttpCallOutcome.TIMED_OUT, HttpCallOutcome.CANCELLED],
+    [
+        HttpCallOutcome.INVALID_RESPONSE,
+        HttpCallOutcome.CONNECTION_LOST,
+        HttpCallOutcome.TIMED_OUT,
+        HttpCallOutcome.CANCELLED,
+    ],
 )
 def test_read_results_status_line_200_delivers_single_message_whatever_follows(fate: HttpCallOutcome):
     (result,) = read_results(HttpCallResult(fate, first_line_status=200), [FIRST])
--- a/tests/test_net_client_connection.py
+++ b/tests/test_net_client_connection.py
@@ -133,10 +133,10 @@
     connection, _, intake, _ = connected_client()
     feed(connection, submit() + submit(b"b2", b"00000000000000ff"))
     rest = (7, 50.5, "ff", b"\r\n\x00", False, False)
-    assert intake.taken == [("a1", "x", None, *rest), ("b2", "x", 255, *rest)]
+    assert intake.accepted_messages == [("a1", "x", None, *rest), ("b2", "x", 255, *rest)]
     for name, mark in ((b"c3", b"r=1"), (b"d4", b"again=1")):
         feed(connection, submit(name, names=b"c=x,d=50.5,k=ff,dest=7," + mark))
-    assert [taken[-2:] for taken in intake.taken[2:]] == [(True, False), (False, True)]
+    assert [taken[-2:] for taken in intake.accepted_messages[2:]] == [(True, False), (False, True)]
 
 
 def test_client_connection_bad_request_replies_error_and_delays_reading():
@@ -151,7 +151,7 @@
         assert not transport.reading  # guards against a client that repeats itself at full speed
         pass_time(connections, clock, timers, 100)
         assert transport.reading
-    assert not intake.taken and not transport.closed
+    assert not intake.accepted_messages and not transport.closed
 
 
 def test_client_connection_many_bad_requests_closed_in_one_cycle():
@@ -222,10 +222,10 @@
         and transport.written == b"+OK\r\n-BUSY\r\n"
     )
     feed(connection, submit(b"part")[40:] + submit(b"more") * 3_000)
-    assert len(intake.taken) == 1 and transport.written == b"+OK\r\n-BUSY\r\n"
+    assert len(intake.accepted_messages) == 1 and transport.written == b"+OK\r\n-BUSY\r\n"
     pass_time(connections, clock, timers, LINGER_MS - 1)
     assert not transport.closed
     pass_time(connections, clock, timers, 2)
     assert transport.closed
     connection.connection_lost(None)
-    assert not len(connections._connections) and not connections._budget.open and not intake.withdrawn
+    assert not len(connections._connections) and not connections._budget.open_count and not intake.withdrawn
--- a/tests/test_net_client_listener.py
+++ b/tests/test_net_client_listener.py
@@ -5,7 +5,7 @@
 import asyncio
 import socket
 
-from winchspan.net.client_connection import CLIENT_PATIENCE_MS, SILENT_AFTER_MS
+from winchspan.net.client_connection import CLIENT_REPLY_TIMEOUT_MS, SILENT_AFTER_MS
 from winchspan.net.client_listener import SWEEP_INTERVAL_MS, ClientConnections
 from winchspan.runtime.system import System
 
@@ -126,7 +126,7 @@
     connections.begin_shutdown()
     assert not transport.closed
     feed(connection, submit()[30:])
-    assert transport.written == b"+OK\r\n" and transport.closed and len(intake.taken) == 1
+    assert transport.written == b"+OK\r\n" and transport.closed and len(intake.accepted_messages) == 1
     connection.connection_lost(None)
     connections.is_closing_idle = False
     used, fresh = connect(connections), connect(connections)
@@ -137,7 +137,7 @@
     connections.stop_listening()
     assert not fresh[1].closed and connections.is_awaiting_first_request()
     feed(fresh[0], submit())
-    assert fresh[1].written == b"+OK\r\n" and fresh[1].closed and len(intake.taken) == 2
+    assert fresh[1].written == b"+OK\r\n" and fresh[1].closed and len(intake.accepted_messages) == 2
 
 
 def test_client_listener_shutdown_does_not_wait_for_a_silent_client():
@@ -145,7 +145,7 @@
     _, transport = connect(connections)
     connections.begin_shutdown()
     connections.stop_listening()
-    clock.advance(CLIENT_PATIENCE_MS - 1.0)
+    clock.advance(CLIENT_REPLY_TIMEOUT_MS - 1.0)
     assert connections.is_awaiting_first_request() and not transport.closed
     clock.advance(1.0)
     assert not connections.is_awaiting_first_request()
@@ -159,7 +159,7 @@
     assert transport.is_closing()  # idle
     late, way = connect(connections)
     feed(late, submit())
-    assert bytes(way.written) == b"+OK\r\n" and way.is_closing() and len(intake.taken) == 1
+    assert bytes(way.written) == b"+OK\r\n" and way.is_closing() and len(intake.accepted_messages) == 1
     probe, answer = connect(connections)
     feed(probe, b"*1\r\n$4\r\nPING\r\n")
     assert bytes(answer.written).startswith(b"-") and answer.is_closing()
--- a/tests/test_net_connection_pool.py
+++ b/tests/test_net_connection_pool.py
@@ -153,7 +153,9 @@
         ]
         if self.state[connection] != "idle":
             fate = (
-                HttpCallOutcome.NOT_WRITTEN if self.state[connection] == "writing" else HttpCallOutcome.BROKEN
+                HttpCallOutcome.NOT_WRITTEN
+                if self.state[connection] == "writing"
+                else HttpCallOutcome.CONNECTION_LOST
             )
             self.expected[self.carries[connection]] = fate
         if eof:
@@ -165,7 +167,7 @@
     def nonsense(self) -> None:
         connection = self.some("idle", "waiting", "reading")[0]
         if self.state[connection] != "idle":
-            self.expected[self.carries[connection]] = HttpCallOutcome.SPOILT
+            self.expected[self.carries[connection]] = HttpCallOutcome.INVALID_RESPONSE
         feed(connection, b"\x00" * 20_000 if self.state[connection] != "reading" else b"\r\nbroken\r\n\r\n")
 
     @rule()
@@ -195,7 +197,7 @@
             elif self.state[connection] == "connecting" and min(timers) <= self.clock.now() + ms:
                 self.expected[self.carries[connection]] = HttpCallOutcome.NOT_WRITTEN
             elif self.state[connection] == "reading" and timers[-1] <= min(timers[0], self.clock.now() + ms):
-                self.expected[self.carries[connection]] = HttpCallOutcome.SPOILT
+                self.expected[self.carries[connection]] = HttpCallOutcome.INVALID_RESPONSE
             elif timers[0] <= self.clock.now() + ms:
                 written = self.state[connection] != "writing"
                 self.expected[self.carries[connection]] = (
@@ -208,7 +210,7 @@
     def every_end_is_the_right_one_and_every_socket_is_counted(self) -> None:
         self.settle()
         assert self.ends == self.expected
-        assert self.budget.open == len(self.state)
+        assert self.budget.open_count == len(self.state)
         busy = [connection.call for connection in self.state if connection.call is not None]
         assert len(busy) == len(set(map(id, busy))) == len(self.calls) - len(self.ends)
 
@@ -316,7 +318,7 @@
     timers.run_due()
     assert connection._transport.closed
     connection.connection_lost(None)
-    assert ends == [(HttpCallOutcome.SPOILT, 200)]
+    assert ends == [(HttpCallOutcome.INVALID_RESPONSE, 200)]
 
 
 def test_connection_pool_start_limit_passed_while_connecting_recalls_call():
--- a/tests/test_net_discovery_watch.py
+++ b/tests/test_net_discovery_watch.py
@@ -63,7 +63,9 @@
     timers.run_due()
     head = connections.calls[1][0][0]
     assert connections.cancelled == 1 and b"since=5" in head and b"Host: 127.0.0.9:9\r\n" in head
-    connections.calls[1][1](HttpCallResult(HttpCallOutcome.BROKEN))  # between two watches it moves as well
+    connections.calls[1][1](
+        HttpCallResult(HttpCallOutcome.CONNECTION_LOST)
+    )  # between two watches it moves as well
     watch.set_address(PLATFORM)
     clock.advance(REOPEN_DELAY_MS)
     timers.run_due()
--- a/tests/test_net_endpoint_directory.py
+++ b/tests/test_net_endpoint_directory.py
@@ -86,7 +86,7 @@
     directory.apply(watch_event(1, endpoint_entry("s-8"), endpoint_entry("s-9"), whole=True))
     gone = {"host": "s-8", "block": 3, "health": "removed"}
     directory.apply(watch_event(2, bad, gone, endpoint_entry("s-9", health="draining")))
-    told = [(row.endpoint, row.listing) for row in got[1].rows]
+    told = [(row.endpoint, row.status) for row in got[1].rows]
     assert told == [(1, api.EndpointStatus.GONE), (2, api.EndpointStatus.DRAINING)]
     assert directory.endpoints[1].name == "s-8"
 
@@ -125,23 +125,23 @@
     assert not directory.knows("s-1")
     directory.apply(listing(1))
     assert directory.take_offline("s-1") and directory.take_offline("s-1")  # a repeat changes nothing
-    assert got[-1].rows[0].listing is EndpointStatus.DRAINING
+    assert got[-1].rows[0].status is EndpointStatus.DRAINING
     for seq, health in ((2, "up"), (3, "removed"), (4, "up"), (5, "draining"), (6, "up")):
         directory.apply(listing(seq, health, whole=seq % 2 == 0))
-        assert got[-1].rows[0].listing is not EndpointStatus.IN_SERVICE
+        assert got[-1].rows[0].status is not EndpointStatus.IN_SERVICE
     journal.close()
 
     again = EndpointDirectory(got.append)  # the next life
     again.offline_names.update(Journal(tmp_path, 100_000).disabled_endpoints)
     again.apply(listing(7))
-    assert got[-1].rows[0].listing is EndpointStatus.DRAINING
+    assert got[-1].rows[0].status is EndpointStatus.DRAINING
     again.bring_online("s-1")
-    assert got[-1].rows[0].listing is EndpointStatus.IN_SERVICE and got[-1].rows[0].cold
+    assert got[-1].rows[0].status is EndpointStatus.IN_SERVICE and got[-1].rows[0].needs_slow_start
     told = len(got)
     again.bring_online("s-1")
     assert len(got) == told  # nothing new to tell
     again.apply(listing(8))
-    assert not got[-1].rows[0].cold
+    assert not got[-1].rows[0].needs_slow_start
 
 
 def test_endpoint_directory_offline_change_during_upgrade_holds_in_next_process(tmp_path: Path):
@@ -159,8 +159,8 @@
     again.offline_names.update(Journal(tmp_path, 100_000).disabled_endpoints)
     again.import_state(handed | {"next": directory.export_state()["next"]})
     rows = {row.endpoint: row for row in got[-1].rows}
-    assert rows[1].listing is EndpointStatus.IN_SERVICE and rows[1].cold
-    assert rows[2].listing is EndpointStatus.DRAINING
+    assert rows[1].status is EndpointStatus.IN_SERVICE and rows[1].needs_slow_start
+    assert rows[2].status is EndpointStatus.DRAINING
 
 
 def test_endpoint_directory_offline_names_survive_compaction_and_are_limited(tmp_path: Path):
--- a/tests/test_net_notifications.py
+++ b/tests/test_net_notifications.py
@@ -23,8 +23,8 @@
     notifications.add(Notification("a", "failed", 0, lambda: heard.append("a")))
     timers.run_due()
     notifications.set_address(Address("127.0.0.9", 9))
-    assert connections.shut == [HttpPeer(PLATFORM)]
-    connections.calls[0][1](HttpCallResult(HttpCallOutcome.BROKEN))
+    assert connections.peers_closed_idle == [HttpPeer(PLATFORM)]
+    connections.calls[0][1](HttpCallResult(HttpCallOutcome.CONNECTION_LOST))
     clock.advance(100)
     timers.run_due()
     assert b"Host: 127.0.0.9:9\r\n" in connections.calls[1][0][0]
@@ -41,7 +41,7 @@
     timers.run_due()
     line = b'{"id":"a","state":"returned","after_ms":500}\n'
     assert connections.calls[0][0][1].startswith(line) and connections.calls[0][0][1].count(b"\n") == 2
-    connections.calls[0][1](HttpCallResult(HttpCallOutcome.BROKEN))
+    connections.calls[0][1](HttpCallResult(HttpCallOutcome.CONNECTION_LOST))
     clock.advance(100)
     timers.run_due()
     notifications.add(Notification("c", "failed", 0, lambda: heard.append("c")))
--- a/tests/test_poll_monitor.py
+++ b/tests/test_poll_monitor.py
@@ -173,7 +173,7 @@
         return found
 
     async def wait_for_taken(self, count: int) -> None:
-        while len(self.intake.taken) < count:
+        while len(self.intake.accepted_messages) < count:
             await asyncio.sleep(0.001)
 
     def block_loop(self, ms: float) -> None:
@@ -223,7 +223,7 @@
         courier.block_loop(450.0)
         await courier.wait_for_taken(1)
         await asyncio.sleep(0.05)
-        assert [message[0] for message in courier.intake.taken] == [f"{2:016x}"]
+        assert [message[0] for message in courier.intake.accepted_messages] == [f"{2:016x}"]
         stays.close()
 
     HeldUpCourier(play)
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -40,7 +40,7 @@
         ("tip_after_ns", -5),
         ("start_capacity", 0.0),
         ("answer_grace_ns", -1),
-        ("classes", {"x": MessageClass("x", aim_ns=0)}),
+        ("classes", {"x": MessageClass("x", latency_objective_ns=0)}),
     ],
 )
 def test_unusable_settings_name_the_setting(name: str, value: object):
--- a/tests/test_replica_store.py
+++ b/tests/test_replica_store.py
@@ -80,7 +80,7 @@
     fill(owner)
     items = tuple(owner.written)
     assert replica.append(3, 1, items)
-    assert replica.last_sequence == len(items)
+    assert replica.last_index == len(items)
     assert holds_same_messages(replica, owner)
     replica.abandon()
     path = next(p for p in (tmp_path / "replica").iterdir() if p.stat().st_size)
@@ -93,7 +93,7 @@
         again = open_replica(tmp_path)
         ends = [contents_start + sum(map(len, items[:n])) for n in range(1, len(items) + 1)]
         complete_count = sum(end <= cut for end in ends)
-        assert (again.epoch, again.last_sequence) == (3, complete_count)
+        assert (again.epoch, again.last_index) == (3, complete_count)
         assert again.append(3, complete_count + 1, items[complete_count:]) or complete_count == len(items)
         assert holds_same_messages(again, owner)
         again.abandon()
@@ -103,21 +103,21 @@
     replica = open_replica(tmp_path)
     replica.replace(3, 0, ())
     assert replica.persist_epoch(5)
-    last_sequence = 0
+    last_index = 0
     for n in range(800):
         owner.record_completed([owner.accept_one(n, b"x" * 300)])
         items = tuple(owner.written)
         owner.written.clear()
-        assert replica.append(3, last_sequence + 1, items)
-        last_sequence += len(items)
+        assert replica.append(3, last_index + 1, items)
+        last_index += len(items)
     fill(owner)
-    assert replica.append(3, last_sequence + 1, tuple(owner.written))
+    assert replica.append(3, last_index + 1, tuple(owner.written))
     size = sum(p.stat().st_size for p in (tmp_path / "replica").iterdir())
     assert size < 200_000 < 800 * 400 and holds_same_messages(replica, owner)
     replica.abandon()
     again = open_replica(tmp_path)
     assert (again.epoch, again.promised_epoch) == (3, 5)
-    assert again.last_sequence == last_sequence + len(owner.written)
+    assert again.last_index == last_index + len(owner.written)
     assert holds_same_messages(again, owner)
 
 
@@ -128,9 +128,9 @@
     fill(owner)
     items = tuple(owner.written)
     disk.free_bytes = len(items[0]) + 10
-    assert not replica.append(3, 1, items) and replica.last_sequence == 0 and not list(replica.open_messages)
+    assert not replica.append(3, 1, items) and replica.last_index == 0 and not list(replica.open_messages)
     assert not replica.replace(4, 9, owner.message_records())
-    assert (replica.epoch, replica.last_sequence) == (3, 0)
+    assert (replica.epoch, replica.last_index) == (3, 0)
     disk.free_bytes = 1 << 30
     assert replica.append(3, 1, items) and holds_same_messages(replica, owner)
     disk.free_bytes = 0
@@ -162,7 +162,7 @@
             replica.append(3, 1, (good, bad))
         with pytest.raises(InvalidRecordsError):
             replica.replace(3, 5, (good, bad))
-        assert replica.last_sequence == 0 and not list(replica.open_messages)
+        assert replica.last_index == 0 and not list(replica.open_messages)
 
 
 def test_replica_store_after_restart_finds_replicas_and_rejects_unsafe_names(
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -10,7 +10,7 @@
 # Guards against deliveries that whoever continues a journal hears of only when a connection is opened anew.
 def test_release_of_a_journal_tells_of_late_deliveries_at_once():
     service = Mock()
-    service._counters.lost_messages = service._engine.held_count = 0
+    service._counters.own_messages_taken_over = service._engine.held_count = 0
     ReplicationService._release_journal(service)
     steps = [name for name, _, _ in service.mock_calls]
     assert steps.index("_late_deliveries.discard_replicated") < steps.index("_late_deliveries.announce")
--- a/tests/test_scheduling_endpoint_health.py
+++ b/tests/test_scheduling_endpoint_health.py
@@ -202,7 +202,7 @@
         world.put("c", after=10 * MS)
         told = world.now
         done = api.AttemptCompleted(
-            "a", 0, 11, Outcome.DELIVERED, final=True, limit_left=left, limit_rate=2.0
+            "a", 0, 11, Outcome.DELIVERED, is_final=True, limit_remaining=left, limit_rate=2.0
         )
         world.do(done)
         world.do(after=SECOND)
--- a/tests/test_scheduling_guarantees.py
+++ b/tests/test_scheduling_guarantees.py
@@ -67,7 +67,7 @@
     zoned = MessageClass("zoned", 1.0, 2 * SECOND, 20 * SECOND, 0.5, Effect.KEYED, 8 * SECOND, True)
     world = World(endpoints={}, classes=CLASSES | {"zoned": zoned})
     rows = (api.EndpointEntry(11, 1, zone="a"), api.EndpointEntry(12, 1, zone="b"))
-    world.do(api.EndpointsUpdated(api.UpdateScope.WHOLE, rows))
+    world.do(api.EndpointsUpdated(api.UpdateScope.SNAPSHOT, rows))
     world.do(api.MessageArrived("a", "zoned", 1, 20 * SECOND))
     first = world.sent[0][1]
     world.end("a", Outcome.ERROR, after=100 * MS, endpoint=first)
@@ -88,7 +88,7 @@
             api.UpdateScope.CHANGES, (api.EndpointEntry(11, 1, api.EndpointStatus.DRAINING),)
         ),
         api.EndpointsUpdated(api.UpdateScope.CHANGES, (api.EndpointEntry(11, 1, api.EndpointStatus.GONE),)),
-        api.EndpointsUpdated(api.UpdateScope.WHOLE, (api.EndpointEntry(12, 1),)),
+        api.EndpointsUpdated(api.UpdateScope.SNAPSHOT, (api.EndpointEntry(12, 1),)),
     ):
         world = World(endpoints={1: [11, 12]})
         world.do(event)
@@ -208,13 +208,13 @@
     for ago, sends in ((7 * SECOND, 1), (8 * SECOND, 0)):
         world = World()
         order = api.MessageArrived("a", "keyed", 1, 10 * SECOND)
-        world.do(api.MessageRecovered(order, attempts=1, ran_ago_ns=ago))
+        world.do(api.MessageRecovered(order, attempts=1, executed_ago_ns=ago))
         world.do(after=SECOND)
         assert world.sends("a") == sends, ago
 
 
 def test_key_order_waits_until_final_answer_is_acknowledged():
-    world = World(ends_are_heard=True, max_attempts=1)
+    world = World(notifications_are_acknowledged=True, max_attempts=1)
     world.put("a", cls="turn", key=7)
     world.put("b", cls="turn", key=7)
     world.end("a", Outcome.FULL)
--- a/tests/test_scheduling_properties.py
+++ b/tests/test_scheduling_properties.py
@@ -45,7 +45,7 @@
         self.keys: dict[str, int] = {}
         self.key_order: dict[int, list[str]] = {}
         self.key_rests: dict[int, int] = {}
-        self.feed(api.EndpointsUpdated(api.UpdateScope.WHOLE, self.entries))
+        self.feed(api.EndpointsUpdated(api.UpdateScope.SNAPSHOT, self.entries))
 
     def is_in_flight(self, message: str) -> bool:
         return any(name == message for name, _ in self.in_flight)
@@ -140,7 +140,7 @@
         if message in self.keys and outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
             self.key_rests[self.keys[message]] = self.now + 300 * MS
         is_final = message in self.finished
-        return api.AttemptCompleted(message, number, endpoint, outcome, final=is_final, wait_ns=wait_ns)
+        return api.AttemptCompleted(message, number, endpoint, outcome, is_final=is_final, wait_ns=wait_ns)
 
     def _told(self, endpoint: int) -> list[int]:
         """Return the endpoints for which a wait that one has stated holds."""
--- a/tests/test_scheduling_shared_limit.py
+++ b/tests/test_scheduling_shared_limit.py
@@ -27,7 +27,7 @@
     due: list[tuple[int, int, int, api.Event]] = []
     for n in range(senders):
         rows = (api.EndpointEntry(endpoint=11, destination=1),)
-        heapq.heappush(due, (0, next(order), n, api.EndpointsUpdated(api.UpdateScope.WHOLE, rows)))
+        heapq.heappush(due, (0, next(order), n, api.EndpointsUpdated(api.UpdateScope.SNAPSHOT, rows)))
         at = int(rng.expovariate(RATE) * SECOND)
         while at < seconds * SECOND:
             heapq.heappush(due, (at, next(order), n, api.MessageArrived(f"{n}-{at}", "safe", 1, 5 * SECOND)))
@@ -53,7 +53,7 @@
                     11,
                     Outcome.FULL if over else Outcome.DELIVERED,
                     latency_ns=LATENCY,
-                    final=not over,
+                    is_final=not over,
                 )
                 heapq.heappush(due, (now + LATENCY, next(order), n, ended))
     return taken, refused
--- a/tests/test_scheduling_slow_start.py
+++ b/tests/test_scheduling_slow_start.py
@@ -17,12 +17,14 @@
             SECOND,
             [
                 api.EndpointsUpdated(
-                    api.UpdateScope.WHOLE, (api.EndpointEntry(1, 1, EndpointStatus.DRAINING),)
+                    api.UpdateScope.SNAPSHOT, (api.EndpointEntry(1, 1, EndpointStatus.DRAINING),)
                 )
             ],
         )
         sender.handle(2 * SECOND, [api.MessageArrived(f"m{n}", "safe", 1, 20 * SECOND) for n in range(10)])
-        back = api.EndpointsUpdated(api.UpdateScope.CHANGES, (api.EndpointEntry(1, 1, cold=cold),))
+        back = api.EndpointsUpdated(
+            api.UpdateScope.CHANGES, (api.EndpointEntry(1, 1, needs_slow_start=cold),)
+        )
         actions = sender.handle(3 * SECOND, [back])
         return sum(isinstance(action, api.StartAttempt) for action in actions)
 
--- a/tests/test_simulation_emulation.py
+++ b/tests/test_simulation_emulation.py
@@ -12,8 +12,8 @@
 
 from winchspan.dead_letters.filters import DeadLetterFilter
 from winchspan.dead_letters.records import DeadLetter, DeadLetterState
-from winchspan.dead_letters.store import FILE, DeadLetterStore
-from winchspan.dead_letters.store_eviction import Bounds
+from winchspan.dead_letters.store import STORE_FILE_NAME, DeadLetterStore
+from winchspan.dead_letters.store_eviction import StoreBounds
 from winchspan.fakes.partner import Mode, Outage, PartnerSettings
 from winchspan.fakes.scenario import Scenario, storm_scenario
 from winchspan.runtime.timers import TimerQueue
@@ -92,7 +92,7 @@
     played = emulation.play()
     dead_letters: list[DeadLetter] = []
     for folder in emulation.data_directories():
-        store = DeadLetterStore(folder / FILE, Bounds(), read_only=True)
+        store = DeadLetterStore(folder / STORE_FILE_NAME, StoreBounds(), read_only=True)
         dead_letters += store.find(DeadLetterFilter(), 100_000)
         store.close()
     assert emulation.clients is not None
--- a/tests/test_takeover_steps.py
+++ b/tests/test_takeover_steps.py
@@ -197,7 +197,10 @@
             "(copies 1)",
             discovery_port=partner.agent_port,
             known_endpoints=partner.endpoint_list(),
-            settings_changes={"classes": MESSAGE_CLASSES, "kinds": {KIND: api.DestinationKind(per_call=10)}},
+            settings_changes={
+                "classes": MESSAGE_CLASSES,
+                "kinds": {KIND: api.DestinationKind(messages_per_call=10)},
+            },
         ),
     )
     try:
--- a/tests/test_upgrade_restore.py
+++ b/tests/test_upgrade_restore.py
@@ -88,7 +88,7 @@
         half.feed(head, 0, len(head))  # the process before has read so much of the answer
         handed = HttpCallState(peer, clock.now() + 9_000.0, None, half, b"", clock.now() + 400.0, False)
         taken_over = call_from_record(call_to_record(handed))
-        pool.adopt_call(mine, HttpCall.adopted(), taken_over, ends.append)
+        pool.adopt_call(mine, HttpCall.without_connection(), taken_over, ends.append)
         pool.recall(peer)
         pool.recall_all_unwritten()
         for _ in range(3):
--- a/tests/test_upgrade_state_codec.py
+++ b/tests/test_upgrade_state_codec.py
@@ -43,7 +43,7 @@
     """One with calls out, keys that wait, a wait that binds, an endpoint in doubt, and a queue."""
     sender = Scheduler(settings(slots=3), 7)
     rows = (api.EndpointEntry(1, 1), api.EndpointEntry(2, 2), api.EndpointEntry(3, 3, kind="batch"))
-    sender.handle(SECOND, [api.EndpointsUpdated(api.UpdateScope.WHOLE, rows)])
+    sender.handle(SECOND, [api.EndpointsUpdated(api.UpdateScope.SNAPSHOT, rows)])
     sender.handle(
         2 * SECOND,
         [
@@ -132,7 +132,7 @@
     world.put("meanwhile", "safe")
     state = world.courier.export_state()
     for attempt in attempts_of(state):
-        attempt.call = HttpCall.adopted()
+        attempt.call = HttpCall.without_connection()
     return state
 
 
@@ -310,7 +310,7 @@
     again = next(message for message in state.messages if message.attempt is None)
     again.attempt = attempt  # an attempt of two messages
     calls = {index: each.call for index, each in enumerate(attempts_of(state))}
-    read = {index: HttpCall.adopted() for index in calls}
+    read = {index: HttpCall.without_connection() for index in calls}
     decoded = engine_from_record(engine_to_record(state, calls), read)  # type: ignore[arg-type]
     sharing = [message.attempt for message in decoded.messages if message.attempt is not None]
     twins = [each for each in sharing if each.call is read[list(calls.values()).index(call)]]
@@ -349,7 +349,7 @@
     assert unchanged.courier is not None
     held = unchanged.courier.engine.scheduler.held
     key = ("winchspan.scheduling.scheduler", "Scheduler")
-    monkeypatch.setitem(legacy_pickle._ATTRIBUTES_BEFORE, key, {"held": "held_now"})
+    monkeypatch.setitem(legacy_pickle._RENAMED_ATTRIBUTES, key, {"held": "held_now"})
     state = decode_state(recorded)
     assert state.courier is not None
     scheduler = state.courier.engine.scheduler
--- a/tests/test_upgrade_state_machine.py
+++ b/tests/test_upgrade_state_machine.py
@@ -37,7 +37,7 @@
             case _:
                 actions = {
                     "acknowledged": machine.on_acknowledged,
-                    "taker lost": machine.on_taker_lost,
+                    "taker lost": machine.on_new_process_lost,
                     "commit failed": machine.on_commit_failed,
                     "stop": machine.on_stop,
                 }[event]()
--- a/winchspan/adapter.py
+++ b/winchspan/adapter.py
@@ -36,7 +36,7 @@
 }
 _SCOPES = {
     "diff": api.UpdateScope.CHANGES,
-    "snapshot": api.UpdateScope.WHOLE,
+    "snapshot": api.UpdateScope.SNAPSHOT,
     "disk": api.UpdateScope.STALE,
     "error": api.UpdateScope.FAILED,
 }
@@ -47,7 +47,7 @@
     return api.EndpointEntry(
         endpoint=read_integer(row, "endpoint"),
         destination=read_integer(row, "belongs_to"),
-        listing=read_choice(_LISTINGS, row.get("availability", "in_service"), "availability"),
+        status=read_choice(_LISTINGS, row.get("availability", "in_service"), "availability"),
         zone=read_field(row, "area", str, ""),
         kind=read_field(row, "type", str, ""),
         rating=read_finite_number(row, "rating", 1.0),
@@ -59,9 +59,9 @@
     tenant = e.get("customer") or ""
     return api.MessageArrived(
         message=read_field(e, "corr", str),
-        cls=read_field(e, "profile", str),
+        class_name=read_field(e, "profile", str),
         destination=read_integer(e, "terminates_at"),
-        left_ns=read_integer(e, "patience_left_ns"),
+        remaining_ns=read_integer(e, "patience_left_ns"),
         tenant=str(tenant),
         key=None if e.get("item") is None else read_integer(e, "item"),
     )
@@ -77,10 +77,10 @@
         endpoint=read_integer(e, "endpoint"),
         outcome=outcome,
         latency_ns=read_integer(e, "lag_ns", 0),
-        final=read_field(e, "last", bool, False),
+        is_final=read_field(e, "last", bool, False),
         wait_ns=wait * 1_000_000 if outcome is api.Outcome.FULL else 0,
         no_slot=outcome is api.Outcome.NOT_SENT and wait == 1,
-        limit_left=read_finite_number(usage, "x0") if "x0" in usage else None,
+        limit_remaining=read_finite_number(usage, "x0") if "x0" in usage else None,
         limit_rate=read_finite_number(usage, "x1") if "x1" in usage else None,
     )
 
--- a/winchspan/api/commands.py
+++ b/winchspan/api/commands.py
@@ -25,15 +25,15 @@
     Attributes:
         message: the message's id.
         endpoint: where to send it.
-        until_ns: the clock reading at which it is abandoned.
-        begin_by_ns: the clock reading by which it must have been sent, or it ends NOT_SENT; 0: no such limit.
+        abandon_at_ns: the clock reading at which it is abandoned.
+        send_before_ns: the clock reading before which it must be sent, or it ends NOT_SENT; 0: no limit.
         pacing: what its endpoint was held to be when it was let through.
     """
 
     message: str
     endpoint: int
-    until_ns: int
-    begin_by_ns: int = 0
+    abandon_at_ns: int
+    send_before_ns: int = 0
     pacing: CallPacing = CallPacing.UNPACED
 
 
--- a/winchspan/api/events.py
+++ b/winchspan/api/events.py
@@ -14,11 +14,11 @@
 
     endpoint: int
     destination: int
-    listing: EndpointStatus = EndpointStatus.IN_SERVICE
+    status: EndpointStatus = EndpointStatus.IN_SERVICE
     zone: str = ""
     kind: str = ""
     rating: float = 1.0
-    cold: bool = False  # it returns, and has not been sent anything meanwhile
+    needs_slow_start: bool = False  # it returns, and has not been sent anything meanwhile
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,16 +31,16 @@
 
 @dataclass(slots=True, frozen=True)
 class MessageArrived:
-    """A message was accepted; one final answer is owed within `left_ns`."""
+    """A message was accepted; one final answer is owed within `remaining_ns`."""
 
     message: str
-    cls: str
+    class_name: str
     destination: int
-    left_ns: int
+    remaining_ns: int
     tenant: str = ""
     key: int | None = None
-    repeat: bool = False  # submitted again after a rejection, as far as anybody can know
-    lowest: bool = False  # goes after all others of its destination, and is given up before them
+    is_repeated: bool = False  # submitted again after a rejection, as far as anybody can know
+    is_lowest_priority: bool = False  # goes after all others of its destination, and is given up before them
 
 
 @dataclass(slots=True, frozen=True)
@@ -50,18 +50,18 @@
     Attributes:
         arrived: the message, with the time that is left of it.
         attempts: how many attempts it has had; they count on.
-        ran_ago_ns: the time since the sending of the first attempt that may have run; None: none has.
-        ran_zone: the zone of that attempt.
-        rests: whether an attempt was in flight at the end of the previous incarnation.
-        over: whether its final answer has been given, but not been acknowledged.
+        executed_ago_ns: the time since the sending of the first attempt that may have run; None: none has.
+        executed_zone: the zone of that attempt.
+        was_in_flight: whether an attempt was in flight at the end of the previous incarnation.
+        is_completed: whether its final answer has been given, but not been acknowledged.
     """
 
     arrived: MessageArrived
     attempts: int = 0
-    ran_ago_ns: int | None = None
-    ran_zone: str = ""
-    rests: bool = False
-    over: bool = False
+    executed_ago_ns: int | None = None
+    executed_zone: str = ""
+    was_in_flight: bool = False
+    is_completed: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -71,13 +71,13 @@
     Attributes:
         destination: its number.
         phase: what it was held to be.
-        ago_ns: the time since that began.
+        elapsed_ns: the time since that began.
         calls_per_s: the sender's part of the demand there.
     """
 
     destination: int
     phase: SlowStartPhase
-    ago_ns: int
+    elapsed_ns: int
     calls_per_s: float
 
 
@@ -98,10 +98,10 @@
         endpoint: the endpoint that it went to.
         outcome: how it ended.
         latency_ns: how long it took.
-        final: whether the message is completed with it, or was before.
+        is_final: whether the message is completed with it, or was before.
         wait_ns: how long to send nothing there, as the answer states (Retry-After); 0: not stated.
         no_slot: whether it was rejected for want of a call slot.
-        limit_left: calls left of the rate limit, as the answer states; None: not stated.
+        limit_remaining: calls left of the rate limit, as the answer states; None: not stated.
         limit_rate: calls a second of the rate limit, as the answer states; None: not stated.
     """
 
@@ -110,10 +110,10 @@
     endpoint: int
     outcome: Outcome
     latency_ns: int = 0
-    final: bool = False
+    is_final: bool = False
     wait_ns: int = 0
     no_slot: bool = False
-    limit_left: float | None = None
+    limit_remaining: float | None = None
     limit_rate: float | None = None
 
 
--- a/winchspan/api/overload_control.py
+++ b/winchspan/api/overload_control.py
@@ -13,14 +13,14 @@
     """A message that a client hands in, before it is taken on."""
 
     message: str
-    cls: MessageClass
+    message_class: MessageClass
     destination: int
-    left_ns: int
+    remaining_ns: int
     key: int | None = None
-    token: str = ""  # the idempotency key
-    repeat: bool = False  # the client says that it was refused before
-    again: bool = False  # the client says that a courier that had it died
-    held: int = 0  # messages that this sender holds now
+    idempotency_key: str = ""
+    is_repeated: bool = False  # the client says that it was refused before
+    is_resubmitted: bool = False  # the client says that a courier that had it died
+    held_count: int = 0  # messages that this sender holds now
 
 
 @dataclass(slots=True, frozen=True)
--- a/winchspan/api/settings.py
+++ b/winchspan/api/settings.py
@@ -44,7 +44,7 @@
     """How an update of the endpoint list relates to the list known before."""
 
     CHANGES = "changes"
-    WHOLE = "whole"
+    SNAPSHOT = "whole"
     STALE = "stale"
     FAILED = "failed"
 
@@ -62,7 +62,7 @@
 
     NONE = "none"
     EXACT = "exact"
-    ROUGH = "rough"
+    APPROXIMATE = "rough"
 
 
 @dataclass(slots=True, frozen=True)
@@ -72,7 +72,7 @@
     Attributes:
         name: its name in the settings and in events.
         worth: the priority weight: worth of a delivery within the latency objective.
-        aim_ns: the latency objective.
+        latency_objective_ns: the latency objective.
         deadline_ns: the time within which a final answer is owed.
         late_worth: the part of the worth that is left at the deadline.
         effect: what a second delivery does.
@@ -84,7 +84,7 @@
 
     name: str
     worth: float = 1.0
-    aim_ns: int = 1_000_000_000
+    latency_objective_ns: int = 1_000_000_000
     deadline_ns: int = 10_000_000_000
     late_worth: float = 0.0
     effect: Effect = Effect.ONCE
@@ -99,12 +99,12 @@
     """A kind of destination.
 
     Attributes:
-        apart: whether its endpoints are separate routes, each with a rate limit of its own.
-        per_call: how many messages a call may hold.
+        has_separate_routes: whether its endpoints are separate routes, each with a rate limit of its own.
+        messages_per_call: how many messages a call may hold.
     """
 
-    apart: bool = False
-    per_call: int = 1
+    has_separate_routes: bool = False
+    messages_per_call: int = 1
 
 
 @dataclass(slots=True, frozen=True)
@@ -146,15 +146,15 @@
     tenants: Mapping[str, Tenant] = field(default_factory=dict)
     zone_fees: Mapping[str, float] = field(default_factory=dict)
     over_share_worth: float = 1.0
-    worth_halves: bool = False
+    halves_late_worth: bool = False
     listed_rate: ListedRate = ListedRate.NONE
     refused_price: float = 0.0
     max_attempts: int = 1_000
     second_copies: bool = False
     can_cancel: bool = False
-    can_tell_peers: bool = False
+    can_notify_peers: bool = False
     must_subscribe: bool = False
-    answers_report: bool = False  # whether answers hold load reports
+    responses_report_load: bool = False  # whether answers hold load reports
     max_retry_after_ns: int = 0
     connect_timeout_ns: int = 1_000_000_000
     keepalive_ns: int = 5_000_000_000
@@ -168,13 +168,13 @@
     tip_after_ns: int = 3_000_000_000
     key_rest_ns: int = 0
     can_recall: bool = False
-    ends_are_heard: bool = False  # each final answer is acknowledged; the next of its key waits for that
+    notifications_are_acknowledged: bool = False  # the next message of the key waits for the acknowledgement
 
     def __post_init__(self) -> None:
         """Raise a ValueError that names the first setting that cannot be used."""
         _check_classes(self.classes)
         for name, kind in self.kinds.items():
-            if kind.per_call < 1:
+            if kind.messages_per_call < 1:
                 raise ValueError(f"kinds: per_call of {name!r} must be at least 1")
         for name in _POSITIVE_SETTINGS:
             if not getattr(self, name) > 0:
@@ -189,7 +189,7 @@
     if not classes:
         raise ValueError("classes: at least one message class is needed")
     for name, cls in classes.items():
-        if cls.aim_ns <= 0 or cls.deadline_ns <= 0:
-            raise ValueError(f"classes: aim_ns and deadline_ns of {name!r} must be positive")
+        if cls.latency_objective_ns <= 0 or cls.deadline_ns <= 0:
+            raise ValueError(f"classes: latency_objective_ns and deadline_ns of {name!r} must be positive")
         if cls.worth < 0 or cls.late_worth < 0:
             raise ValueError(f"classes: worth and late_worth of {name!r} must not be negative")
--- a/winchspan/application/application.py
+++ b/winchspan/application/application.py
@@ -134,7 +134,7 @@
         )
 
     def _spare_descriptor_count(self) -> int:
-        return spare_descriptor_count(self.config, self._resources.sockets.open)
+        return spare_descriptor_count(self.config, self._resources.sockets.open_count)
 
     def _complete_hand_over(self) -> None:
         """End this process: another one serves in its place now."""
@@ -165,7 +165,7 @@
 
     def render_metrics(self) -> str:
         """Return the metrics of this moment as text."""
-        listed = self._resources.directory.listed_numbers()
+        listed = self._resources.directory.listed_endpoint_numbers()
         gauges: dict[str, int] = {
             "current": self.engine.held_count,
             "cluster_size": len(listed),
--- a/winchspan/application/components.py
+++ b/winchspan/application/components.py
@@ -26,7 +26,7 @@
     from winchspan.cluster.cluster_component import ClusterComponent
     from winchspan.control.server import ControlServer
     from winchspan.dead_letters.archiver import DeadLetterArchiver
-    from winchspan.dead_letters.policy import RedeliveryPolicy, RedeliveryRate, RedeliveryRule
+    from winchspan.dead_letters.policy import RedeliveryPolicy, RedeliveryRateLimiter, RedeliveryRule
     from winchspan.delivery.engine import DeliveryEngine
     from winchspan.overload.report import OverloadReport
     from winchspan.upgrade.hand_over_server import HandOverServer
@@ -61,7 +61,7 @@
         clock: Clock,
         timers: TimerQueue,
     ) -> None:
-        self.redelivery_rate: RedeliveryRate | None = None  # a cluster's, in place of the rules' own
+        self.redelivery_rate: RedeliveryRateLimiter | None = None  # a cluster's, in place of the rules' own
         self._archiver = archiver
         self._rules = rules
         self._classes = classes
--- a/winchspan/application/resources.py
+++ b/winchspan/application/resources.py
@@ -45,13 +45,13 @@
 
 def engine_settings(settings: api.Settings) -> api.Settings:
     """Return the platform's settings with what this engine supports: completions and recalls."""
-    return replace(settings, ends_are_heard=True, can_recall=True)
+    return replace(settings, notifications_are_acknowledged=True, can_recall=True)
 
 
 def transport_settings(settings: api.Settings) -> TransportSettings:
     """Return what the platform's settings say of calls."""
-    messages_per_call = {name: kind.per_call for name, kind in settings.kinds.items()}
-    return TransportSettings(messages_per_call, settings.answers_report)
+    messages_per_call = {name: kind.messages_per_call for name, kind in settings.kinds.items()}
+    return TransportSettings(messages_per_call, settings.responses_report_load)
 
 
 def pool_timeouts(settings: api.Settings) -> PoolTimeouts:
--- a/winchspan/cli/dead_letter_source.py
+++ b/winchspan/cli/dead_letter_source.py
@@ -13,8 +13,8 @@
 from winchspan.control.protocol import ControlError, JsonValue
 from winchspan.dead_letters import queries
 from winchspan.dead_letters.errors import DeadLetterStoreError, OperatorActionError
-from winchspan.dead_letters.store import FILE, DeadLetterStore
-from winchspan.dead_letters.store_eviction import Bounds
+from winchspan.dead_letters.store import STORE_FILE_NAME, DeadLetterStore
+from winchspan.dead_letters.store_eviction import StoreBounds
 
 MAX_FILE_GROWTH_BYTES: Final = 64_000_000
 """What a store's file may grow by one query of a tool."""
@@ -26,7 +26,7 @@
     """What executes queries."""
 
     def query(self, name: str, /, **arguments: JsonValue) -> JsonValue:
-        """Execute one of `queries.NAMES` and return its result.
+        """Execute one of `queries.QUERY_NAMES` and return its result.
 
         Raises:
             ControlError: if the courier cannot be asked.
@@ -40,7 +40,7 @@
 
     def __init__(self, path: Path) -> None:
         """Make it; `path` is the file, or its directory."""
-        self._path = path / FILE if path.is_dir() else path
+        self._path = path / STORE_FILE_NAME if path.is_dir() else path
 
     def query(self, name: str, /, **arguments: JsonValue) -> JsonValue:
         """Open the file for one query; see `DeadLetterSource`."""
@@ -49,7 +49,7 @@
             raise DeadLetterStoreError(f"{self._path}: there is no store")
         # Only the courier knows the operator's bounds, and evicts what is beyond them; a tool evicts nothing.
         max_bytes = self._path.stat().st_size + MAX_FILE_GROWTH_BYTES
-        bounds = Bounds(max_bytes, _NO_LIMIT, 1e6, _NO_LIMIT)
+        bounds = StoreBounds(max_bytes, _NO_LIMIT, 1e6, _NO_LIMIT)
         store = DeadLetterStore(self._path, bounds, read_only=queries.is_read_only(name, arguments))
         try:
             environment = queries.QueryEnvironment(store, time.time() * 1_000.0)
--- a/winchspan/cluster/announcements.py
+++ b/winchspan/cluster/announcements.py
@@ -129,7 +129,7 @@
             clock_ms=self._node.now_ms(),
             zone=location.zone,
             region=location.region,
-            is_unfit=self._local.clocks.is_off(self._node.name),
+            is_clock_drifting=self._local.clocks.is_drifting(self._node.name),
             journal_epoch=self.journals[self._node.name].epoch,
             store_start_count=store.start_count,
             term=raft.term,
@@ -142,10 +142,12 @@
         self._bus.send(member, announcement)
 
     def _on_announcement(self, sender: str, announcement: NodeAnnouncement) -> None:
-        if node_name(announcement.store_id) != sender or not self._is_complete(sender, announcement):
+        if node_name(announcement.store_id) != sender or not self._passes_rollback_check(
+            sender, announcement
+        ):
             return
         self._local.bootstrap.record_node(announcement.store_id, announcement.is_empty)
-        self._local.clocks.record_fitness(sender, is_unfit=announcement.is_unfit)
+        self._local.clocks.record_self_report(sender, is_clock_drifting=announcement.is_clock_drifting)
         self.journals[sender] = JournalOwnership(announcement.incarnation, announcement.journal_epoch)
         self.locations[sender] = Location(
             announcement.zone[:MAX_LOCATION_LENGTH], announcement.region[:MAX_LOCATION_LENGTH]
@@ -158,7 +160,7 @@
             store.start_count, self._node.incarnation, raft.term, raft.commit_index, raft.last_position[0]
         )
 
-    def _own_rollback(self, known: StoreProgress, promise: Promise) -> str:
+    def _describe_own_rollback(self, known: StoreProgress, promise: Promise) -> str:
         """Describe what this store lacks of what another member knows of it; empty if nothing."""
         missing = self._own_progress().describe_rollback(known)
         if missing or known.life == self._node.incarnation:
@@ -168,12 +170,12 @@
             return f"entry {promise.index} of term {promise.entry_term}"
         return missing
 
-    def _is_complete(self, sender: str, announcement: NodeAnnouncement) -> bool:
+    def _passes_rollback_check(self, sender: str, announcement: NodeAnnouncement) -> bool:
         """Return whether both stores have all that they are known to have had."""
         known = announcement.known_progress
         if known is not None and known[0] == self._local.store.member_id:
             promise = announcement.known_promise
-            missing = self._own_rollback(known[1], Promise() if promise is UNSET else promise)
+            missing = self._describe_own_rollback(known[1], Promise() if promise is UNSET else promise)
             if missing:
                 self._on_rolled_back(
                     f"{self._local.store.path}: is older than what {sender} knows of it ({missing}): "
--- a/winchspan/cluster/claim_service.py
+++ b/winchspan/cluster/claim_service.py
@@ -26,9 +26,9 @@
 
 MAX_CLAIMS_PER_FRAME: Final = 256
 PRIORITY_PREFIX: Final = "!"  # before a courier's name: its own message of a claimed token goes first
-MAX_EXECUTED_TOKENS: Final = 1_024  # of this courier's messages whose end is remembered with their token
-MARK_BYTES: Final = 9  # of one mark (replication/claims.py)
-MAX_MARKS_PER_CLAIM: Final = 2
+MAX_TRACKED_TOKENS: Final = 1_024  # of this courier's messages whose end is remembered with their token
+LOCK_KEY_BYTES: Final = 9  # of one lock key (replication/claims.py)
+MAX_LOCK_KEYS_PER_CLAIM: Final = 2
 MAX_TEXT_LENGTH: Final = 64  # characters of an id or a zone that another member says
 
 ClaimMessage = ClaimsAnnounced | ClaimCompleted | ClaimsReleased | PossiblyExecuted
@@ -45,14 +45,14 @@
 class FirstAttempt(NamedTuple):
     """Since when a message may have been executed, by the persistent clock, and where."""
 
-    at_ms: float
+    started_unix_ms: float
     zone: str
 
 
 class WaitingMessage(NamedTuple):
     """A message of this courier that waits for a claim."""
 
-    marks: tuple[bytes, ...]
+    lock_keys: tuple[bytes, ...]
     release: ReleaseCallback
 
 
@@ -84,7 +84,7 @@
         self._replicas = replicas
         self._claims = ClaimTable()
         self._waiting: dict[int, WaitingMessage] = {}
-        self._claimed_epochs: dict[str, int] = {}  # silent couriers that are claimed for, with the epoch
+        self._silent_owner_epochs: dict[str, int] = {}  # silent couriers that are claimed for, with the epoch
         self._claimed_entries: dict[int, ClaimedJournal] = {}  # claimed entries of this courier's journal
         self._attempts_by_token: dict[bytes, FirstAttempt] = {}
         self._bus.subscribe(ClaimsAnnounced, self._on_claims_announced)
@@ -107,56 +107,59 @@
         self._claimed_entries.clear()
 
     # ---- this courier's messages -------------------------------------------------------------------------
-    def enter(self, number: int, marks: tuple[bytes, ...], origin: str | None, free: ReleaseCallback) -> None:
-        """Release a message once no claim on its marks is open, perhaps at once.
+    def release_when_unclaimed(
+        self, number: int, lock_keys: tuple[bytes, ...], origin: str | None, on_released: ReleaseCallback
+    ) -> None:
+        """Release a message as soon as no claim on its lock keys is open, possibly before returning.
 
         Args:
-            number: of its journal entry.
-            marks: of its key and token.
-            origin: the courier that it was taken over from; an empty string: this one; None: it is new.
-            free: is called then, with how many ms ago a message of the same token may have been executed and
-                in which zone, or None.
+            number: number of the message's journal entry.
+            lock_keys: lock keys of its ordering key and idempotency token.
+            origin: courier that the message was taken over from; empty for a message that this courier
+                accepted before its restart; None for a new message.
+            on_released: called on release with the age in ms and the zone of an earlier attempt that may have
+                executed a message of the same token; None if no such attempt is known.
         """
-        before = self._node.name if origin == "" else origin or ""
-        if self._claims.wait_if_claimed(number, marks, before):
-            self._waiting[number] = WaitingMessage(marks, free)
+        taken_over_from = self._node.name if origin == "" else origin or ""
+        if self._claims.wait_if_claimed(number, lock_keys, taken_over_from):
+            self._waiting[number] = WaitingMessage(lock_keys, on_released)
         else:
-            free(self._earlier_attempt_of(marks))
+            on_released(self._earlier_attempt_of(lock_keys))
 
-    def forget(self, number: int) -> None:
+    def cancel(self, number: int) -> None:
         """Forget a waiting message that is complete."""
         self._claims.cancel(number)
         self._waiting.pop(number, None)
 
-    def _earlier_attempt_of(self, marks: tuple[bytes, ...]) -> tuple[float, str] | None:
-        attempt = self._claims.earlier_attempt(self._node.now_ms(), marks)
+    def _earlier_attempt_of(self, lock_keys: tuple[bytes, ...]) -> tuple[float, str] | None:
+        attempt = self._claims.earlier_attempt(self._node.now_ms(), lock_keys)
         return None if attempt is None else (attempt.age_ms, attempt.zone)
 
     def _release_waiting(self) -> None:
         for number in self._claims.pop_unblocked():
             waiting = self._waiting.pop(number, None)
             if waiting is not None:
-                waiting.release(self._earlier_attempt_of(waiting.marks))
+                waiting.release(self._earlier_attempt_of(waiting.lock_keys))
 
     # ---- messages of members -----------------------------------------------------------------------------
     def _on_claims_announced(self, sender: str, message: ClaimsAnnounced) -> None:
         del sender  # claims hold whoever passes them on
         claims = [
-            Claim(row.message_id, tuple(row.marks[:MAX_MARKS_PER_CLAIM]), row.remaining_ms)
+            Claim(row.message_id, tuple(row.lock_keys[:MAX_LOCK_KEYS_PER_CLAIM]), row.remaining_ms)
             for row in message.claims
             if _is_within_bounds(row)
         ]
         self._claims.add_claims(self._node.now_ms(), message.owner, message.epoch, claims)
         if not message.owner.startswith(PRIORITY_PREFIX) and message.owner != self._node.name:
             self._claim_own_tokens(
-                {mark for claim in claims for mark in claim.lock_keys if mark[:1] == TOKEN_PREFIX}
+                {lock_key for claim in claims for lock_key in claim.lock_keys if lock_key[:1] == TOKEN_PREFIX}
             )
 
     def _on_possibly_executed(self, sender: str, message: PossiblyExecuted) -> None:
         del sender
-        if len(message.mark) == MARK_BYTES:
-            attempt = EarlierAttempt(message.ago_ms, message.zone[:MAX_TEXT_LENGTH])
-            self._claims.record_attempt(self._node.now_ms(), message.mark, attempt)
+        if len(message.lock_key) == LOCK_KEY_BYTES:
+            attempt = EarlierAttempt(message.age_ms, message.zone[:MAX_TEXT_LENGTH])
+            self._claims.record_attempt(self._node.now_ms(), message.lock_key, attempt)
 
     def _on_claim_completed(self, sender: str, message: ClaimCompleted) -> None:
         del sender
@@ -192,17 +195,17 @@
         silent: it may be in flight, or have been executed, and the one that is taken over must not run
         beside it, nor after its window.
         """
-        for mark in tokens & self._attempts_by_token.keys():
-            attempt = self._attempts_by_token[mark]
-            ago_ms = max(0.0, self._node.clock.persistent_unix_ms() - attempt.at_ms)
-            self._broadcast(PossiblyExecuted(mark, ago_ms, attempt.zone))
+        for lock_key in tokens & self._attempts_by_token.keys():
+            attempt = self._attempts_by_token[lock_key]
+            age_ms = max(0.0, self._node.clock.persistent_unix_ms() - attempt.started_unix_ms)
+            self._broadcast(PossiblyExecuted(lock_key, age_ms, attempt.zone))
         entries = [
             entry
             for entry in self._delivery.journal.open_messages
             if entry.number not in self._waiting
             and entry.number not in self._claimed_entries
             and entry.origin is None
-            and tokens & set(self._marks(entry))
+            and tokens & set(self._lock_keys_of(entry))
         ]
         if entries:
             self._claim_entries(ClaimedJournal(PRIORITY_PREFIX + self._node.name, 1), entries)
@@ -210,15 +213,15 @@
     # ---- what is claimed ---------------------------------------------------------------------------------
     def claim(self, owner: str, epoch: int, entries: Iterable[JournalEntry]) -> None:
         """Claim entries of this courier's journal for an owner, to all members."""
-        self._claimed_epochs.pop(owner, None)
+        self._silent_owner_epochs.pop(owner, None)
         self._claim_entries(ClaimedJournal(owner, epoch), list(entries))
 
     def _claim_entries(self, journal: ClaimedJournal, entries: list[JournalEntry]) -> None:
         self._claimed_entries |= {entry.number: journal for entry in entries}
-        for message in self._announcements(journal, entries, is_empty_announced=True):
+        for message in self._build_announcements(journal, entries, is_empty_announced=True):
             self._broadcast(message)
 
-    def _announcements(
+    def _build_announcements(
         self, journal: ClaimedJournal, entries: Iterable[JournalEntry], *, is_empty_announced: bool = False
     ) -> list[ClaimsAnnounced]:
         """Return the claims on entries, as many frames as it takes."""
@@ -234,12 +237,12 @@
         now_unix_ms = self._node.clock.persistent_unix_ms()
         rows = []
         for entry in entries:
-            marks = self._marks(entry)
-            if marks and not entry.redelivery_of:
-                rows.append(ClaimRow(entry.id, list(marks), max(0.0, entry.deadline_ms - now_unix_ms)))
+            lock_keys = self._lock_keys_of(entry)
+            if lock_keys and not entry.redelivery_of:
+                rows.append(ClaimRow(entry.id, list(lock_keys), max(0.0, entry.deadline_ms - now_unix_ms)))
         return rows
 
-    def _marks(self, entry: JournalEntry) -> tuple[bytes, ...]:
+    def _lock_keys_of(self, entry: JournalEntry) -> tuple[bytes, ...]:
         message_class = self._delivery.classes.get(entry.class_name)
         if message_class is None:
             return lock_keys_of(entry.class_name, entry.key, entry.idempotency_key)
@@ -256,37 +259,37 @@
             placement = self._consensus.leases.table.placements.get(owner)
             if (
                 replica.epoch
-                and self._claimed_epochs.get(owner) != replica.epoch
+                and self._silent_owner_epochs.get(owner) != replica.epoch
                 and self._is_silent(owner)
                 and placement is not None
                 and self._node.name in placement.replicas
             ):
-                self._claimed_epochs[owner] = replica.epoch
+                self._silent_owner_epochs[owner] = replica.epoch
                 journal = ClaimedJournal(owner, replica.epoch)
-                for message in self._announcements(journal, self._store.open_messages(owner)):
+                for message in self._build_announcements(journal, self._store.open_messages(owner)):
                     self._broadcast(message)
 
     # ---- events ------------------------------------------------------------------------------------------
     def on_entry_completed(self, entry: JournalEntry) -> None:
         """Tell whoever waits for a message that it is complete, and when it may have been executed."""
         journal = self._claimed_entries.pop(entry.number, None)
-        executed_at = (
+        executed_unix_ms = (
             entry.first_executed_at_ms if entry.first_executed_at_ms is not None else entry.in_flight_since_ms
         )
         zone = entry.first_executed_zone or entry.in_flight_zone
-        if executed_at is not None:
-            self._remember_attempt(entry, FirstAttempt(executed_at, zone))
+        if executed_unix_ms is not None:
+            self._remember_attempt(entry, FirstAttempt(executed_unix_ms, zone))
         if journal is not None:
-            ago_ms = -1.0
-            if executed_at is not None:
-                ago_ms = max(0.0, self._node.clock.persistent_unix_ms() - executed_at)
-            self._broadcast(ClaimCompleted(journal.owner, journal.epoch, entry.id, ago_ms, zone))
+            age_ms = -1.0
+            if executed_unix_ms is not None:
+                age_ms = max(0.0, self._node.clock.persistent_unix_ms() - executed_unix_ms)
+            self._broadcast(ClaimCompleted(journal.owner, journal.epoch, entry.id, age_ms, zone))
 
     def _remember_attempt(self, entry: JournalEntry, attempt: FirstAttempt) -> None:
-        for mark in self._marks(entry):
-            if mark[:1] == TOKEN_PREFIX:
-                self._attempts_by_token[mark] = attempt
-        while len(self._attempts_by_token) > MAX_EXECUTED_TOKENS:
+        for lock_key in self._lock_keys_of(entry):
+            if lock_key[:1] == TOKEN_PREFIX:
+                self._attempts_by_token[lock_key] = attempt
+        while len(self._attempts_by_token) > MAX_TRACKED_TOKENS:
             del self._attempts_by_token[next(iter(self._attempts_by_token))]
 
     def on_connected(self, member: str) -> None:
@@ -296,21 +299,23 @@
             entry = self._delivery.journal.get(number)
             if entry is not None:
                 journals.setdefault(journal, []).append(entry)
-        for owner, epoch in self._claimed_epochs.items():
+        for owner, epoch in self._silent_owner_epochs.items():
             journals[ClaimedJournal(owner, epoch)] = self._store.open_messages(owner)
         for journal, entries in journals.items():
-            for message in self._announcements(journal, entries):
+            for message in self._build_announcements(journal, entries):
                 self._bus.send(member, message)
 
-    def on_owner_heard(self, owner: str) -> None:
+    def on_owner_active(self, owner: str) -> None:
         """Release what is claimed for a courier that sends its records itself again."""
         if self._is_silent(owner):
             return
-        epoch = self._claimed_epochs.pop(owner, 0)
+        epoch = self._silent_owner_epochs.pop(owner, 0)
         if epoch:
             self._broadcast(ClaimsReleased(owner, epoch))
 
 
 def _is_within_bounds(row: ClaimRow) -> bool:
-    marks = row.marks[:MAX_MARKS_PER_CLAIM]
-    return len(row.message_id) <= MAX_TEXT_LENGTH and all(len(mark) == MARK_BYTES for mark in marks)
+    lock_keys = row.lock_keys[:MAX_LOCK_KEYS_PER_CLAIM]
+    return len(row.message_id) <= MAX_TEXT_LENGTH and all(
+        len(lock_key) == LOCK_KEY_BYTES for lock_key in lock_keys
+    )
--- a/winchspan/cluster/clock_checks.py
+++ b/winchspan/cluster/clock_checks.py
@@ -21,27 +21,27 @@
         self._own_name = own_name
         self._max_drift = max_drift
         self._monitor = ClockDriftMonitor()
-        self._self_declared_unfit: set[str] = set()
+        self._self_reported_drifting: set[str] = set()
         self.drifts: dict[str, float] = {}  # of members whose clock is off, as a part of time
 
     def record(self, now: float, member: str, announcement: NodeAnnouncement) -> None:
         """Take a member's reading."""
         self._monitor.record_reading(now, member, announcement.incarnation, announcement.clock_ms)
 
-    def record_fitness(self, member: str, *, is_unfit: bool) -> None:
+    def record_self_report(self, member: str, *, is_clock_drifting: bool) -> None:
         """Take what a member says of its own clock."""
-        if is_unfit:
-            self._self_declared_unfit.add(member)
+        if is_clock_drifting:
+            self._self_reported_drifting.add(member)
         else:
-            self._self_declared_unfit.discard(member)
+            self._self_reported_drifting.discard(member)
 
-    def is_off(self, member: str) -> bool:
+    def is_drifting(self, member: str) -> bool:
         """Return whether a member's clock is off as seen here."""
         return member in self.drifts
 
-    def is_fit(self, member: str) -> bool:
+    def may_hold_leases(self, member: str) -> bool:
         """Return whether a member may hold leases."""
-        return member not in self.drifts and member not in self._self_declared_unfit
+        return member not in self.drifts and member not in self._self_reported_drifting
 
     def compare(self) -> bool:
         """Compare all readings, log what has changed, and return whether this member's own state has."""
--- a/winchspan/cluster/cluster_component.py
+++ b/winchspan/cluster/cluster_component.py
@@ -33,7 +33,7 @@
 if TYPE_CHECKING:
     from winchspan.cluster.replication_service import ReplicationService
     from winchspan.cluster.services import ClusterService, ClusterServices
-    from winchspan.dead_letters.policy import RedeliveryRate
+    from winchspan.dead_letters.policy import RedeliveryRateLimiter
     from winchspan.delivery.engine import DeliveryEngine
     from winchspan.delivery.ports import ReplicationPort
 
@@ -78,7 +78,11 @@
 
             factory = ClusterServiceFactory(node, operator, delivery)
             ports = ConsensusPorts(
-                delivery.journal, delivery.connections, self._live_nodes, self._find_cut_off, abort
+                delivery.journal,
+                delivery.connections,
+                self._live_nodes,
+                self._find_reached_by_others_only,
+                abort,
             )
             self._services = factory.create(config, members, secret, ports)
         self._transport = DatagramTransport(members, secret, self._on_datagram)
@@ -90,7 +94,7 @@
         return self._services.replication if self._services is not None else None
 
     @property
-    def redelivery_rate(self) -> RedeliveryRate | None:
+    def redelivery_rate(self) -> RedeliveryRateLimiter | None:
         """The rate of redeliveries that the cluster shares, if it does."""
         return self._services.redelivery_rate if self._services is not None else None
 
@@ -142,18 +146,18 @@
     def request_stop(self) -> bool:
         """Tell the other members that this one leaves, and begin to hand its work over."""
         self._execute(self._swim.leave(self._node.clock.now()))
-        replication = self._handed_over_replication()
+        replication = self._replication_to_hand_over()
         if replication is not None:
-            replication.leave()
+            replication.start_hand_over()
         return False
 
     @property
     def is_busy(self) -> bool:
         """Whether work is still to be handed over."""
-        replication = self._handed_over_replication()
+        replication = self._replication_to_hand_over()
         return replication is not None and replication.is_handing_over
 
-    def _handed_over_replication(self) -> ReplicationService | None:
+    def _replication_to_hand_over(self) -> ReplicationService | None:
         """Return the service whose journal is handed over at a stop, if it is."""
         if self._services is None or not self._values["hand-over"]:
             return None
@@ -240,12 +244,14 @@
             nodes[self._swim.node_name] = self._swim.process_nonce
         return nodes
 
-    def _find_cut_off(self, lost: set[str]) -> list[str]:
+    def _find_reached_by_others_only(self, out_of_contact: set[str]) -> list[str]:
         """Probe members that this one has lost contact with; return those that only others reach."""
         now = self._node.clock.now()
-        cut_off = [name for name in sorted(lost) if self._swim.is_reached_by_others_only(now, name)]
-        self._execute(self._swim.probe_reachability(now, lost))
-        return cut_off
+        reached_by_others_only = [
+            name for name in sorted(out_of_contact) if self._swim.is_reached_by_others_only(now, name)
+        ]
+        self._execute(self._swim.probe_reachability(now, out_of_contact))
+        return reached_by_others_only
 
     def _on_datagram(self, datagram: Datagram) -> None:
         self._execute(self._swim.handle_datagram(self._node.clock.now(), datagram))
--- a/winchspan/cluster/consensus_service.py
+++ b/winchspan/cluster/consensus_service.py
@@ -45,9 +45,9 @@
 from winchspan.storage.journal import Journal
 
 HEARTBEAT_INTERVAL_MS = 225.0  # between two requests for renewal: four of them in a lease
-ANNOUNCEMENT_HEARTBEATS = 8  # a member announces itself in one heartbeat of so many
+HEARTBEATS_PER_ANNOUNCEMENT = 8  # a member announces itself in one heartbeat of so many
 STORE_RETRY_INTERVAL_MS = 50.0  # between two tries to write what a full disk did not take
-MAX_ENTRIES_PAST_SNAPSHOT = 200  # committed entries after which a snapshot stands for them
+SNAPSHOT_INTERVAL_ENTRIES = 200  # committed entries after which a snapshot stands for them
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,14 +77,15 @@
         journal: this courier's; it knows under which epoch it was last written.
         connections: to endpoints; a call that is partially written may have to be recalled.
         live_nodes: returns who is alive, by name with their incarnations, this process among them.
-        find_cut_off: probes members that this one has lost contact with, and returns those that others reach.
+        find_reached_by_others_only: probes members that are out of contact with this one, and returns those
+            that only other members reach.
         abort: ends the process with a reason.
     """
 
     journal: Journal
     connections: HttpConnectionPool
     live_nodes: Callable[[], dict[str, int]]
-    find_cut_off: Callable[[set[str]], list[str]]
+    find_reached_by_others_only: Callable[[set[str]], list[str]]
     abort: Callable[[str], None]
 
 
@@ -221,7 +222,7 @@
         elif self.raft.leader:
             self.bus.send(node_name(self.raft.leader), data)
 
-    def plan_soon(self) -> None:
+    def schedule_plan(self) -> None:
         """As the leader, look at once who is to hold what."""
         if not self._is_closed:
             self._node.timers.call_later(0.0, self._plan)
@@ -308,9 +309,9 @@
             return
         self._node.timers.call_later(HEARTBEAT_INTERVAL_MS, self._on_heartbeat)
         self._heartbeat_count += 1
-        if self._heartbeat_count % ANNOUNCEMENT_HEARTBEATS == 0 and self._clocks.compare():
+        if self._heartbeat_count % HEARTBEATS_PER_ANNOUNCEMENT == 0 and self._clocks.compare():
             self.announcements.announce_to_all()  # a leader may not see it, and leave this member its roles
-        if self._heartbeat_count % ANNOUNCEMENT_HEARTBEATS == 1:
+        if self._heartbeat_count % HEARTBEATS_PER_ANNOUNCEMENT == 1:
             self.announcements.announce_to_all()
         founders = self._bootstrap.members_to_bootstrap(is_log_empty(self.raft))
         if founders:
@@ -344,15 +345,15 @@
         self._change_voters(now, live)
         stores = {node_name(store_id): store_id for store_id in self.raft.members}
         in_contact = _members_in_contact(self.raft, now, stores, self.leases.lease_ms)
-        lost = stores.keys() & live.keys() - in_contact
-        reason = self._step_down.decide(now, self._ports.find_cut_off(lost))
+        out_of_contact = stores.keys() & live.keys() - in_contact
+        reason = self._step_down.decide(now, self._ports.find_reached_by_others_only(out_of_contact))
         if reason:
             self._execute(self.raft.step_down(now, reason))
             return
         eligible = {
             name: incarnation
             for name, incarnation in live.items()
-            if name in in_contact and self._clocks.is_fit(name)
+            if name in in_contact and self._clocks.may_hold_leases(name)
         }
         self.leases.plan(now, eligible, stores)
         if self._plan_timer is not None:
@@ -362,12 +363,12 @@
             self._plan_timer = self._node.timers.call_later(expiry_ms - now, self._plan)
 
     def _change_voters(self, now: float, live: Mapping[str, int]) -> None:
-        wanted = self._bootstrap.next_membership_change(self.raft.members, live)
-        if wanted is None:
+        new_voters = self._bootstrap.next_membership_change(self.raft.members, live)
+        if new_voters is None:
             return
-        index, actions = self.raft.change_membership(now, wanted)
+        index, actions = self.raft.change_membership(now, new_voters)
         if index:
-            logger.info("fleet: proposes as voters: {}", ", ".join(sorted(wanted)))
+            logger.info("fleet: proposes as voters: {}", ", ".join(sorted(new_voters)))
         self._execute(actions)
 
     # ---- what the state machine asks for -----------------------------------------------------------------
@@ -389,7 +390,7 @@
                     self.leases.set_leading(is_leading=leader == self._store.member_id)
                     logger.info("fleet: {} leads in term {}: {}", leader or "nobody", term, why)
         entry_count = self.raft.commit_index - self.raft.snapshot.index
-        if entry_count > MAX_ENTRIES_PAST_SNAPSHOT and not self._store.has_backlog:
+        if entry_count > SNAPSHOT_INTERVAL_ENTRIES and not self._store.has_backlog:
             self._execute(self.raft.compact(self.raft.commit_index, self.leases.table.encode_snapshot()))
         self._raft_timer.arm()
 
--- a/winchspan/cluster/health_check_calls.py
+++ b/winchspan/cluster/health_check_calls.py
@@ -78,11 +78,11 @@
             self.counts["withdrawn"] += 1
             self.withdraw(check)
             return
-        pieces = self._request(check, record)
+        request_parts = self._request(check, record)
         now = self._node.clock.now()
         call = self._delivery.connections.start_call(
             record.peer,
-            lambda: pieces if self._confirm(check) else [],
+            lambda: request_parts if self._confirm(check) else [],
             now + RESPONSE_TIMEOUT_MS,
             lambda result: self._on_result(check, result),
             CallOptions(start_by_ms=now + remaining_ms),
@@ -123,7 +123,8 @@
             self._leases.permitted_epoch(check.role) != check.epoch
             or self._state.backoff.remaining_ms(now, target.destination) > 0.0
             or all(
-                record.number != target.endpoint_number for record in self._delivery.directory.in_service()
+                record.number != target.endpoint_number
+                for record in self._delivery.directory.in_service_endpoints()
             )
         ):
             self.counts["withdrawn"] += 1
--- a/winchspan/cluster/health_check_service.py
+++ b/winchspan/cluster/health_check_service.py
@@ -141,8 +141,8 @@
             self._announce(now, target)
 
     def _targets(self) -> Iterator[HealthCheckTarget]:
-        for record in self._delivery.directory.in_service():
-            yield HealthCheckTarget(record.name, record.dest, record.listed_rate, record.number)
+        for record in self._delivery.directory.in_service_endpoints():
+            yield HealthCheckTarget(record.name, record.destination, record.listed_rate, record.number)
 
     def _expire_requests(self, now: float) -> None:
         for number in self._state.requests.expire(now):
--- a/winchspan/cluster/health_state.py
+++ b/winchspan/cluster/health_state.py
@@ -65,8 +65,8 @@
     def permitted_epoch(self, role: str) -> int:
         """Return the epoch under which a health check may be announced now; 0: none may."""
         epoch = self._leases.permitted_epoch(role)
-        is_fresh = self._leases.remaining_ms(role) >= MIN_LEASE_MS
-        return epoch if epoch and is_fresh and self._synced_epochs.get(role) == epoch else 0
+        has_min_lease = self._leases.remaining_ms(role) >= MIN_LEASE_MS
+        return epoch if epoch and has_min_lease and self._synced_epochs.get(role) == epoch else 0
 
     def request_missing(self, now: float, targets: list[HealthCheckTarget]) -> None:
         """Ask all members about the roles that this courier holds under a new epoch."""
--- a/winchspan/cluster/journal_hand_over.py
+++ b/winchspan/cluster/journal_hand_over.py
@@ -24,7 +24,7 @@
     """This courier's journal, as far as its hand-over looks at it."""
 
     @property
-    def unsecured_count(self) -> int:
+    def unreplicated_count(self) -> int:
         """How many records are not replicated yet."""
 
     def is_owner(self) -> bool:
@@ -49,7 +49,7 @@
         self._consensus = consensus
         self._ports = ports
         self._engine: DeliveryEngine
-        self._attempts_until_ms = 0.0  # 0: not started
+        self._attempt_deadline_ms = 0.0  # 0: not started
         self._is_closed = False
         self.is_complete = False
 
@@ -60,12 +60,12 @@
     @property
     def is_started(self) -> bool:
         """Whether it has begun."""
-        return self._attempts_until_ms > 0.0
+        return self._attempt_deadline_ms > 0.0
 
     def start(self) -> None:
         """Begin, unless it has begun already."""
-        if not self._attempts_until_ms:
-            self._attempts_until_ms = self._node.now_ms() + ATTEMPT_TIMEOUT_MS
+        if not self._attempt_deadline_ms:
+            self._attempt_deadline_ms = self._node.now_ms() + ATTEMPT_TIMEOUT_MS
             self._engine.freeze()
             self._poll()
 
@@ -77,11 +77,11 @@
         if self._is_closed or self.is_complete:
             return
         now = self._node.now_ms()
-        if self._engine.in_flight_count and now >= self._attempts_until_ms:
+        if self._engine.in_flight_count and now >= self._attempt_deadline_ms:
             # They may have been executed: whoever continues them is notified of that.
             self._ports.counters.abandoned_attempts += self._engine.cancel_in_flight()
-        is_waiting = bool(self._engine.in_flight_count) or self._ports.journal.unsecured_count > 0
-        has_time = now < self._attempts_until_ms + REPLICATION_TIMEOUT_MS
+        is_waiting = bool(self._engine.in_flight_count) or self._ports.journal.unreplicated_count > 0
+        has_time = now < self._attempt_deadline_ms + REPLICATION_TIMEOUT_MS
         if not self._ports.journal.is_owner() or (is_waiting and has_time):
             self._node.timers.call_later(POLL_INTERVAL_MS, self._poll)
             return
--- a/winchspan/cluster/journal_stream.py
+++ b/winchspan/cluster/journal_stream.py
@@ -17,14 +17,14 @@
 from winchspan.storage.journal import Journal
 from winchspan.storage.record_file import iterate_records
 
-MAX_UNSECURED_RECORDS: Final = 256  # that may wait for a replica; with more, no message is admitted
+MAX_UNREPLICATED_RECORDS: Final = 256  # that may wait for a replica; with more, no message is admitted
 
 
-class SecureWaiter(NamedTuple):
+class ReplicationWaiter(NamedTuple):
     """Callbacks that wait until a record is replicated, or the journal is another's."""
 
     record_number: int
-    on_secured: Callable[[], None]
+    on_replicated: Callable[[], None]
     on_lost: Callable[[], None]
 
 
@@ -44,7 +44,7 @@
         self._role = journal_role(node.name)
         self.placer = ReplicaPlacer(node, consensus, options, self.is_owner)
         self._stream: ReplicationStream | None = None
-        self._waiters: deque[SecureWaiter] = deque()
+        self._waiters: deque[ReplicationWaiter] = deque()
         self._is_flush_scheduled = False
         self._is_closed = False
         self._bus.subscribe(ReplicaAcknowledged, self._on_acknowledged)
@@ -63,12 +63,12 @@
         return self._stream.epoch if self._stream is not None else 0
 
     @property
-    def unsecured_count(self) -> int:
+    def unreplicated_count(self) -> int:
         """How many records are not replicated yet."""
         return self._stream.unacknowledged_count if self._stream is not None else 0
 
     @property
-    def secured_number(self) -> int:
+    def replicated_number(self) -> int:
         """The number of the last record that is replicated."""
         return self._stream.acknowledged_index if self._stream is not None else 0
 
@@ -87,7 +87,7 @@
 
     def may_admit(self) -> bool:
         """Return whether a message may be admitted, so that it will be replicated."""
-        return self._may_release() and self.unsecured_count <= MAX_UNSECURED_RECORDS
+        return self._may_release() and self.unreplicated_count <= MAX_UNREPLICATED_RECORDS
 
     # ---- lifecycle ---------------------------------------------------------------------------------------
     def open(self, now: float, epoch: int) -> None:
@@ -114,7 +114,7 @@
         elif not self._waiters and stream.acknowledged_index >= stream.last_index and self._may_release():
             then()
         else:
-            self._waiters.append(SecureWaiter(stream.last_index, then, lost))
+            self._waiters.append(ReplicationWaiter(stream.last_index, then, lost))
             if not self._is_flush_scheduled:
                 self._is_flush_scheduled = True
                 self._node.loop.call_soon(self._flush)
@@ -151,7 +151,7 @@
         self._release_waiters()
 
     def _may_release(self) -> bool:
-        return self.placer.has_enough() and self.is_owner()
+        return self.placer.has_enough_replicas() and self.is_owner()
 
     def _release_waiters(self) -> None:
         """Call back whoever waits for what is replicated now."""
@@ -161,7 +161,7 @@
             and self._stream.acknowledged_index >= self._waiters[0].record_number
             and self._may_release()
         ):
-            self._waiters.popleft().on_secured()
+            self._waiters.popleft().on_replicated()
 
     # ---- messages ----------------------------------------------------------------------------------------
     def _on_acknowledged(self, sender: str, message: ReplicaAcknowledged) -> None:
--- a/winchspan/cluster/late_deliveries.py
+++ b/winchspan/cluster/late_deliveries.py
@@ -43,8 +43,8 @@
 
     def discard_replicated(self, record_number: int) -> None:
         """Forget all deliveries whose records are replicated up to a number."""
-        kept = (delivery for delivery in self._own if delivery.record_number > record_number)
-        self._own = deque(kept, MAX_LATE_DELIVERIES)
+        unreplicated = (delivery for delivery in self._own if delivery.record_number > record_number)
+        self._own = deque(unreplicated, MAX_LATE_DELIVERIES)
 
     def announce(self) -> None:
         """Tell all members of the deliveries that nobody else may know of."""
--- a/winchspan/cluster/lease_service.py
+++ b/winchspan/cluster/lease_service.py
@@ -84,7 +84,7 @@
     # ---- as a holder -------------------------------------------------------------------------------------
     def permitted_epoch(self, role: str) -> int:
         """Return the epoch under which this courier may act in a role at this moment; 0: it may not."""
-        if self._clocks.is_off(self._node.name):
+        if self._clocks.is_drifting(self._node.name):
             return 0
         return self._holder.valid_epoch(role, self._node.now_ms())
 
@@ -168,7 +168,7 @@
 
     def _renew(self, now: float, request: RenewLeases) -> LeasesRenewed | None:
         """Renew leases, if this courier surely leads."""
-        if self._manager is None or not self._clocks.is_fit(request.owner):
+        if self._manager is None or not self._clocks.may_hold_leases(request.owner):
             return None
         renewal = self._manager.renew(now, request, self.table, self._raft.has_confirmed_leadership(now))
         self._latest_renewal_end_ms = max(self._latest_renewal_end_ms, self._manager.latest_expiry_at)
--- a/winchspan/cluster/messages.py
+++ b/winchspan/cluster/messages.py
@@ -59,7 +59,7 @@
         clock_ms: what its clock reads.
         zone: where it runs.
         region: where it runs.
-        is_unfit: whether it knows that its own clock is off, so that it holds no role.
+        is_clock_drifting: whether it knows that its own clock is off, so that it holds no role.
         journal_epoch: the epoch under which its journal is its own; 0: it has none.
         store_start_count: how often a process has started with its store.
         term: of its consensus state.
@@ -77,7 +77,7 @@
     clock_ms: float = msgspec.field(default=0.0, name="clock")
     zone: str = ""
     region: str = ""
-    is_unfit: bool = msgspec.field(default=False, name="unfit")
+    is_clock_drifting: bool = msgspec.field(default=False, name="unfit")
     journal_epoch: int = msgspec.field(default=0, name="work")
     store_start_count: int = msgspec.field(default=0, name="start")
     term: int = 0
@@ -200,7 +200,7 @@
     """An open message, the marks of its key and token, and how much of its time is left."""
 
     message_id: str
-    marks: list[bytes]
+    lock_keys: list[bytes]
     remaining_ms: float
 
 
@@ -232,8 +232,8 @@
 class PossiblyExecuted(msgspec.Struct, array_like=True):
     """A message with a token that somebody has claimed may have been executed elsewhere."""
 
-    mark: bytes
-    ago_ms: float
+    lock_key: bytes
+    age_ms: float
     zone: str
 
 
--- a/winchspan/cluster/raft_timer.py
+++ b/winchspan/cluster/raft_timer.py
@@ -17,17 +17,17 @@
         self._raft = raft
         self._on_due = on_due
         self._timer: Timer | None = None
-        self._at_ms = float("inf")
+        self._due_ms = float("inf")
         self._is_stopped = False
 
     def arm(self) -> None:
         """Set the timer, if the state machine's next timeout is earlier than the timer's."""
-        if self._is_stopped or self._raft.next_tick_at >= self._at_ms:
+        if self._is_stopped or self._raft.next_tick_at >= self._due_ms:
             return
         if self._timer is not None:
             self._timer.cancel()
-        self._at_ms = self._raft.next_tick_at
-        delay_ms = max(0.0, self._at_ms - self._node.now_ms())
+        self._due_ms = self._raft.next_tick_at
+        delay_ms = max(0.0, self._due_ms - self._node.now_ms())
         self._timer = self._node.timers.call_later(delay_ms, self._on_timer)
 
     def stop(self) -> None:
@@ -36,6 +36,6 @@
 
     def _on_timer(self) -> None:
         self._timer = None
-        self._at_ms = float("inf")
+        self._due_ms = float("inf")
         if not self._is_stopped:
             self._on_due()
--- a/winchspan/cluster/redelivery_service.py
+++ b/winchspan/cluster/redelivery_service.py
@@ -11,13 +11,13 @@
 from winchspan.cluster.messages import RedeliveryQuotaGranted, RedeliveryQuotaUsed
 from winchspan.cluster.node import ClusterNode
 from winchspan.cluster_tasks.redelivery_rounds import REDELIVERY_ROLE, RedeliveryAllowance, RedeliveryRounds
-from winchspan.dead_letters.policy import RedeliveryRate, RedeliveryRule
+from winchspan.dead_letters.policy import RedeliveryRateLimiter, RedeliveryRule
 from winchspan.leases.fencing import EpochFence
 
 POLL_INTERVAL_MS: Final = 250.0  # between two checks whose round it is
 
 
-class ClusterRedeliveryRate(RedeliveryRate):
+class ClusterRedeliveryRate(RedeliveryRateLimiter):
     """Keeps redelivery to what the role's holder allows, in place of the rules' own rates."""
 
     def __init__(self, service: RedeliveryService) -> None:
@@ -32,13 +32,13 @@
         """Count a message that the rule has marked for redelivery."""
         self._service.allowance.consume(rule.name)
 
-    def is_valid(self) -> bool:
+    def is_selection_valid(self) -> bool:
         """Return whether what was marked may still be sent, to be asked right before it is."""
         return self._service.allowance.is_valid(self._service.now())
 
     def complete_round(self) -> None:
         """Return the rest of the quota: what a round has marked is with the engine."""
-        self._service.return_rest()
+        self._service.return_unused_quota()
 
 
 class RedeliveryService:
@@ -77,14 +77,14 @@
             self._rounds = RedeliveryRounds(now, self._rates) if epoch else None
         if self._rounds is None:
             return
-        order = self._rounds.next_grant(now, self._consensus.live_nodes())
-        if order is None:
+        grant = self._rounds.next_grant(now, self._consensus.live_nodes())
+        if grant is None:
             return
-        message = RedeliveryQuotaGranted(epoch, order.number, order.limits)
-        if order.recipient == self._node.name:
+        message = RedeliveryQuotaGranted(epoch, grant.number, grant.limits)
+        if grant.recipient == self._node.name:
             self._on_granted(self._node.name, message)
         else:
-            self._bus.send(order.recipient, message)
+            self._bus.send(grant.recipient, message)
 
     def close(self) -> None:
         """Grant nothing any more."""
@@ -114,7 +114,7 @@
         self._grantor = sender
         self.allowance.renew(self.now(), message.epoch, message.round_number, message.quotas)
 
-    def return_rest(self) -> None:
+    def return_unused_quota(self) -> None:
         """Leave the rest of the quota to the next courier."""
         if not self._grantor or not self.allowance.is_valid(self.now()):
             return
--- a/winchspan/cluster/replica_holder.py
+++ b/winchspan/cluster/replica_holder.py
@@ -21,7 +21,7 @@
         self.replicas = ReplicaSet(store.replica_states())
 
     @property
-    def held_count(self) -> int:
+    def replica_count(self) -> int:
         """How many journals there are records of."""
         return sum(replica.epoch > 0 for replica in self.replicas.replicas.values())
 
@@ -50,7 +50,7 @@
                 self._bus.send(sender, action.message)
                 continue
             replica = self.store.replica(message.owner)
-            epoch, last_record = (replica.epoch, replica.last_sequence) if replica is not None else (0, 0)
+            epoch, last_record = (replica.epoch, replica.last_index) if replica is not None else (0, 0)
             try:
                 is_written = self.store.persist(action)
             except InvalidRecordsError as err:
@@ -69,7 +69,7 @@
         )
         return are_written and self.replicas.replicas[owner].promised_epoch == epoch
 
-    def forget_superseded(self, takeover_epochs: Mapping[str, int]) -> None:
+    def remove_superseded(self, takeover_epochs: Mapping[str, int]) -> None:
         """Forget all replicas of journals that were taken over under a later epoch."""
         for owner, replica in list(self.replicas.replicas.items()):
             if 0 < replica.epoch < takeover_epochs.get(owner, 0):
--- a/winchspan/cluster/replica_placer.py
+++ b/winchspan/cluster/replica_placer.py
@@ -68,7 +68,7 @@
         placement = self._consensus.leases.table.placements.get(self._node.name)
         return tuple(placement.joining) if placement is not None else ()
 
-    def has_enough(self) -> bool:
+    def has_enough_replicas(self) -> bool:
         """Return whether there are as many replicas as there must be."""
         return not self._options.is_strict or len(self.replicas) >= self._options.replica_count
 
--- a/winchspan/cluster/replication_counters.py
+++ b/winchspan/cluster/replication_counters.py
@@ -13,7 +13,7 @@
         completed_takeovers: journals of other couriers that this one has taken over.
         messages_taken_over: their open messages.
         possibly_executed: those of them that may have been executed.
-        lost_messages: messages of this courier that another has taken over.
+        own_messages_taken_over: messages of this courier that another has taken over.
         last_takeover_ms: how long the last takeover took.
         rejected: messages that were not admitted, as they could not have been replicated.
         abandoned_attempts: attempts in flight that were given up.
@@ -24,7 +24,7 @@
     completed_takeovers: int = 0
     messages_taken_over: int = 0
     possibly_executed: int = 0
-    lost_messages: int = 0
+    own_messages_taken_over: int = 0
     last_takeover_ms: int = 0
     rejected: int = 0
     abandoned_attempts: int = 0
@@ -37,7 +37,7 @@
             "fleet.copies.taken_over": self.completed_takeovers,
             "fleet.copies.messages_taken_over": self.messages_taken_over,
             "fleet.copies.may_have_run": self.possibly_executed,
-            "fleet.copies.lost_work": self.lost_messages,
+            "fleet.copies.lost_work": self.own_messages_taken_over,
             "fleet.copies.took_ms": self.last_takeover_ms,
             "fleet.copies.refused": self.rejected,
             "fleet.copies.given_up": self.abandoned_attempts,
--- a/winchspan/cluster/replication_service.py
+++ b/winchspan/cluster/replication_service.py
@@ -73,7 +73,7 @@
         self._takeovers = self._create_takeover_service()
         ports = HandOverPorts(self._stream, delivery.notifications, self._planning, self._counters)
         self._hand_over = JournalHandOver(node, consensus, ports)
-        self._owned_ms = 0.0  # when the journal was last this courier's
+        self._last_owned_ms = 0.0  # when the journal was last this courier's
         self._is_recovered = False
         self._is_closed = False
         self._bus.subscribe(ReplicateRecords, self._on_records)
@@ -126,7 +126,7 @@
         self._delivery.journal.on_message_completed = None
         self._holder.store.close()
 
-    def leave(self) -> None:
+    def start_hand_over(self) -> None:
         """Admit nothing more, let attempts in flight complete, and hand the journal over."""
         self._hand_over.start()
 
@@ -138,12 +138,12 @@
     def metrics(self) -> dict[str, int]:
         """Return how far the replicas go, what is held of others, and what was taken over."""
         return {
-            "fleet.copies.unsecured": self._stream.unsecured_count,
+            "fleet.copies.unsecured": self._stream.unreplicated_count,
             "fleet.copies.lag_ms": int(self._stream.lag_ms()),
             "fleet.copies.epoch": self._stream.epoch,
             "fleet.copies.mine": int(self._stream.is_owner()),
             **self._claims.metrics(),
-            "fleet.copies.held": self._holder.held_count,
+            "fleet.copies.held": self._holder.replica_count,
             **self._counters.metrics(),
         }
 
@@ -179,11 +179,11 @@
         free: ReleaseCallback,
     ) -> None:
         """Call `free` once no message of another journal with the same key or token goes first."""
-        self._claims.enter(number, lock_keys_of(cls, key, token), origin, free)
+        self._claims.release_when_unclaimed(number, lock_keys_of(cls, key, token), origin, free)
 
     def forget(self, number: int) -> None:
         """Forget a waiting message that is complete."""
-        self._claims.forget(number)
+        self._claims.cancel(number)
 
     def delivered(self, message: str) -> None:
         """Tell whoever continues this journal of a delivery that came after all."""
@@ -205,24 +205,24 @@
             and journal.work_epoch
             and is_taken_over(self._node.name, journal.work_epoch, table)
         ):
-            self._discard_lost_entries()
+            self._discard_taken_over_entries()
         journal.record_completed(
             [entry.number for entry in journal.open_messages if is_takeover_incomplete(entry.origin, table)]
         )
         self._stream.open(now, epoch)
         journal.record_work_epoch(epoch)
         self._consensus.announcements.set_journal_epoch(epoch)
-        self._owned_ms = now
+        self._last_owned_ms = now
         if not self._is_recovered:
             self._is_recovered = True
             self._claims.claim(self._node.name, epoch, journal.open_messages)
             self._engine.recover()
 
-    def _discard_lost_entries(self) -> None:
+    def _discard_taken_over_entries(self) -> None:
         journal = self._delivery.journal
         numbers = [entry.number for entry in journal.open_messages]
         journal.record_completed(numbers)
-        self._counters.lost_messages += len(numbers)
+        self._counters.own_messages_taken_over += len(numbers)
         logger.warning(
             "takeover: this courier's messages were taken over during its absence: {} are another's",
             len(numbers),
@@ -231,8 +231,8 @@
     def _release_journal(self) -> None:
         """Start nothing any more of a journal that another courier has taken over."""
         logger.warning("takeover: this courier's messages were taken over: it holds none from now on")
-        self._late_deliveries.discard_replicated(self._stream.secured_number)
-        self._counters.lost_messages += self._engine.held_count
+        self._late_deliveries.discard_replicated(self._stream.replicated_number)
+        self._counters.own_messages_taken_over += self._engine.held_count
         self._stream.drop()
         self._claims.clear()
         self._engine.release_all()
@@ -265,13 +265,17 @@
         self._planning.request_progress(now)
         self._takeovers.run_due(now)
         self._claims.run_due(now)
-        self._holder.forget_superseded(self._leases.table.completed_takeovers)
+        self._holder.remove_superseded(self._leases.table.completed_takeovers)
 
     def _suspend_without_lease(self, now: float) -> None:
         is_suspended = not (self._is_recovered and self._stream.is_owner())
         if not is_suspended:
-            self._owned_ms = now
-        elif self._owned_ms and now > self._owned_ms + ABANDON_AFTER_MS and self._engine.in_flight_count:
+            self._last_owned_ms = now
+        elif (
+            self._last_owned_ms
+            and now > self._last_owned_ms + ABANDON_AFTER_MS
+            and self._engine.in_flight_count
+        ):
             # Guards against two attempts at once: a takeover may start its own soon after.
             self._counters.abandoned_attempts += self._engine.cancel_in_flight()
         self._engine.set_suspended(is_suspended)
@@ -292,5 +296,5 @@
 
     def _on_records(self, sender: str, message: ReplicateRecords | SnapshotChunk) -> None:
         if message.owner == sender:
-            self._claims.on_owner_heard(sender)
+            self._claims.on_owner_active(sender)
             self._holder.receive(sender, message)
--- a/winchspan/cluster/services.py
+++ b/winchspan/cluster/services.py
@@ -132,7 +132,7 @@
         from winchspan.cluster.redelivery_service import ClusterRedeliveryRate, RedeliveryService
         from winchspan.dead_letters.setup import redelivery_rules
 
-        named = redelivery_rules(self._operator.get("resend", {}))
-        service = RedeliveryService(self._node, services.consensus, named)
+        rules = redelivery_rules(self._operator.get("resend", {}))
+        service = RedeliveryService(self._node, services.consensus, rules)
         services.redelivery_rate = ClusterRedeliveryRate(service)
         services.all.append(service)
--- a/winchspan/cluster/takeover_planning.py
+++ b/winchspan/cluster/takeover_planning.py
@@ -64,4 +64,4 @@
 
     def _on_leaving(self, sender: str, message: NodeLeaving) -> None:
         self._planner.record_shutdown(sender, message.incarnation)
-        self._consensus.plan_soon()
+        self._consensus.schedule_plan()
--- a/winchspan/cluster/takeover_service.py
+++ b/winchspan/cluster/takeover_service.py
@@ -32,22 +32,22 @@
     Attributes:
         epoch: of this courier's lease on the journal.
         started_ms: when it began.
-        asked_ms: when members or the leader were last asked.
+        last_request_ms: when members or the leader were last asked.
         promised_by: members that have promised the epoch.
         entries: the open messages, once they are in this courier's journal.
         offline_endpoints: that an operator had taken out of service at the owner.
-        is_entered: whether all entries are in this courier's journal.
-        is_secured: whether they are replicated, too.
+        is_journaled: whether all entries are in this courier's journal.
+        is_replicated: whether they are replicated, too.
     """
 
     epoch: int
     started_ms: float
-    asked_ms: float = float("-inf")
+    last_request_ms: float = float("-inf")
     promised_by: set[str] = field(default_factory=set)
     entries: list[JournalEntry] = field(default_factory=list)
     offline_endpoints: list[str] = field(default_factory=list)
-    is_entered: bool = False
-    is_secured: bool = False
+    is_journaled: bool = False
+    is_replicated: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -133,14 +133,14 @@
         if not self._ports.holder.promise(owner, takeover.epoch):
             return
         if not self._live_replica_nodes(owner) <= takeover.promised_by:
-            if now >= takeover.asked_ms + RETRY_INTERVAL_MS:
-                takeover.asked_ms = now
+            if now >= takeover.last_request_ms + RETRY_INTERVAL_MS:
+                takeover.last_request_ms = now
                 self._bus.broadcast(EpochPromiseRequested(owner, takeover.epoch))
             return
-        if not takeover.is_entered and not self._enter(owner, takeover):
+        if not takeover.is_journaled and not self._journal_entries(owner, takeover):
             return
-        if takeover.is_secured and now >= takeover.asked_ms + RETRY_INTERVAL_MS:
-            takeover.asked_ms = now
+        if takeover.is_replicated and now >= takeover.last_request_ms + RETRY_INTERVAL_MS:
+            takeover.last_request_ms = now
             self._consensus.propose(TakeoverCompleted(owner, takeover.epoch).encode())
 
     def _live_replica_nodes(self, owner: str) -> set[str]:
@@ -149,7 +149,7 @@
         live = self._consensus.live_nodes()
         return {name for name in nodes if name in live}
 
-    def _enter(self, owner: str, takeover: Takeover) -> bool:
+    def _journal_entries(self, owner: str, takeover: Takeover) -> bool:
         """Enter all open messages of a replica into this journal; return False if there is no room."""
         store = self._ports.holder.store
         for entry in store.open_messages(owner):
@@ -163,8 +163,8 @@
             takeover.entries.append(entry)
         replica = store.replica(owner)
         takeover.offline_endpoints = list(replica.disabled_endpoints) if replica is not None else []
-        takeover.is_entered = True
-        self._ports.secure(lambda: _mark_secured(takeover), lambda: None)
+        takeover.is_journaled = True
+        self._ports.secure(lambda: _mark_replicated(takeover), lambda: None)
         return True
 
     def _discard_entries(self, takeover: Takeover) -> None:
@@ -220,5 +220,5 @@
             takeover.promised_by.add(sender)
 
 
-def _mark_secured(takeover: Takeover) -> None:
-    takeover.is_secured = True
+def _mark_replicated(takeover: Takeover) -> None:
+    takeover.is_replicated = True
--- a/winchspan/config/settings.py
+++ b/winchspan/config/settings.py
@@ -21,7 +21,7 @@
     "by_key": api.Effect.KEYED,
     "once": api.Effect.ONCE,
 }
-_LISTED_RATES: Final = {"nominal": api.ListedRate.EXACT, "rough": api.ListedRate.ROUGH}
+_LISTED_RATES: Final = {"nominal": api.ListedRate.EXACT, "rough": api.ListedRate.APPROXIMATE}
 
 
 def message_class_to_json(cls: api.MessageClass) -> dict[str, Any]:
@@ -29,7 +29,7 @@
     return {
         "name": cls.name,
         "worth": cls.worth,
-        "aim_ns": cls.aim_ns,
+        "aim_ns": cls.latency_objective_ns,
         "deadline_ns": cls.deadline_ns,
         "late_worth": cls.late_worth,
         "effect": cls.effect.value,
@@ -63,7 +63,7 @@
     return api.MessageClass(
         name=values["name"],
         worth=values["worth"],
-        aim_ns=values["aim_ns"],
+        latency_objective_ns=values["aim_ns"],
         deadline_ns=values["deadline_ns"],
         late_worth=values["late_worth"],
         effect=effect,
@@ -92,20 +92,20 @@
             zip(read_array(info, "failure_domains"), read_array(family, "fee_by_zone"), strict=False)
         ),
         over_share_worth=read_finite_number(info, "over_share_worth", 1.0),
-        worth_halves=family.get("decay") == "by_half",
+        halves_late_worth=family.get("decay") == "by_half",
         listed_rate=_LISTED_RATES.get(read_field(info, "weights", str, "none"), api.ListedRate.NONE),
         refused_price=read_finite_number(family, "refused_price", 0.0),
         max_attempts=read_integer(limits, "try_limit", 1_000),
         second_copies=read_field(limits, "second_copies", bool, False),
         can_cancel=read_field(limits, "cancel", bool, False),
-        can_tell_peers=read_field(limits, "peers", bool, False),
+        can_notify_peers=read_field(limits, "peers", bool, False),
         must_subscribe=info.get("discovery") == "ask",
         max_retry_after_ns=_max_retry_after_ns(limits),
         connect_timeout_ns=read_integer(limits, "connect_timeout_ns", 1_000_000_000),
         keepalive_ns=read_integer(limits, "keepalive_ns", 5_000_000_000),
         calls_per_connection=read_integer(limits, "multiplex", 1),
         answer_grace_ns=read_integer(rules, "grace_to_answer_ns", 0),
-        answers_report=read_object(info, "load_report").get("how") == "answers",
+        responses_report_load=read_object(info, "load_report").get("how") == "answers",
         step_ns=read_integer(info, "step_ns", 1_000_000),
         drain_grace_ns=read_integer(rules, "drain_grace_ns", 0),
         start_capacity=read_finite_number(rules, "start_capacity", 0.1),
@@ -124,7 +124,7 @@
         classes[name] = api.MessageClass(
             name=name,
             worth=read_finite_number(row, "gain", 1.0),
-            aim_ns=read_integer(row, "goal_time_ns"),
+            latency_objective_ns=read_integer(row, "goal_time_ns"),
             deadline_ns=read_integer(row, "hard_limit_ns"),
             late_worth=read_finite_number(row, "late_worth", 0.0),
             effect=read_choice(_EFFECTS, row.get("idempotency", "once"), "idempotency"),
@@ -141,9 +141,11 @@
     per_call_by_kind = read_array(family, "per_call")
     kinds = {}
     for i, name in enumerate(read_array(info, "kinds")):
-        apart = bool(apart_by_kind[i]) if i < len(apart_by_kind) else False
-        per_call = int(per_call_by_kind[i]) if i < len(per_call_by_kind) else 1
-        kinds[name] = api.DestinationKind(apart=apart, per_call=per_call)
+        has_separate_routes = bool(apart_by_kind[i]) if i < len(apart_by_kind) else False
+        messages_per_call = int(per_call_by_kind[i]) if i < len(per_call_by_kind) else 1
+        kinds[name] = api.DestinationKind(
+            has_separate_routes=has_separate_routes, messages_per_call=messages_per_call
+        )
     return kinds
 
 
--- a/winchspan/config/transitions.py
+++ b/winchspan/config/transitions.py
@@ -12,7 +12,7 @@
 
 from winchspan.api import Effect, MessageClass, Settings
 
-CLASS_SWITCH_MS: Final = 1_500.0
+CLASS_TRANSITION_MS: Final = 1_500.0
 """How long both apply: clients name the new classes 1.2 s after SIGHUP, as the platform's page has it."""
 
 _STRICTNESS: Final = {Effect.REPEATABLE: 0, Effect.KEYED: 1, Effect.ONCE: 2}
--- a/winchspan/control/commands.py
+++ b/winchspan/control/commands.py
@@ -65,7 +65,7 @@
             commands[operation.value] = partial(_execute_operation, operations, operation)
     if worker is not None:
         dead_letters = _DeadLetterQueries(worker, clock, context)
-        for name in queries.NAMES:
+        for name in queries.QUERY_NAMES:
             commands[f"undelivered.{name}"] = partial(dead_letters.execute, name)
     return commands
 
--- a/winchspan/dead_letters/archiver.py
+++ b/winchspan/dead_letters/archiver.py
@@ -19,7 +19,7 @@
 from winchspan.dead_letters.journal_entries import JournalEntryConverter
 from winchspan.dead_letters.record_codec import JsonObject, failure_history_to_json
 from winchspan.dead_letters.records import DeadLetter, DeadLetterState
-from winchspan.dead_letters.settlement import RedeliveryEnd
+from winchspan.dead_letters.settlement import RedeliveryOutcome
 from winchspan.dead_letters.store import DeadLetterStore
 from winchspan.dead_letters.store_worker import StoreJob, StoreSettings, StoreWorker
 from winchspan.delivery.messages import STATE_FAILED, AttemptRecord
@@ -131,7 +131,7 @@
             on_done: called once the store has it; until then the journal keeps it, if need be until a
                 restart.
         """
-        end = RedeliveryEnd(
+        end = RedeliveryOutcome(
             ended_unix_ms=self._clock.unix_ms(),
             first_run_unix_ms=self._converter.wall_clock_ms(entry.first_executed_at_ms),
             first_executed_at_ms=entry.first_executed_at_ms,
@@ -154,7 +154,7 @@
         self.run_on_store(settle, on_settled)
 
     def _settle_in(
-        self, store: DeadLetterStore, entry: JournalEntry, end: RedeliveryEnd, history: JsonObject | None
+        self, store: DeadLetterStore, entry: JournalEntry, end: RedeliveryOutcome, history: JsonObject | None
     ) -> None:
         """Record the end of a redelivery, on the store's thread, unless the store has it already."""
         dead_letter = store.get(entry.redelivery_of)
--- a/winchspan/dead_letters/evidence.py
+++ b/winchspan/dead_letters/evidence.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EndCircumstances:
+class FailureContext:
     """What is known of a message at the time when the scheduler gives it up; times in Unix ms.
 
     Attributes:
@@ -50,7 +50,7 @@
     text: str
 
 
-def end_reason(end: EndCircumstances) -> str:
+def failure_reason(end: FailureContext) -> str:
     """Return why the scheduler gave a message up, derived from what is known of it."""
     if end.deadline_ms - end.now_ms <= end.grace_ms:
         return "out of time" if end.attempt_count else "out of time, never sent"
--- a/winchspan/dead_letters/journal_entries.py
+++ b/winchspan/dead_letters/journal_entries.py
@@ -8,14 +8,14 @@
 from loguru import logger
 
 from winchspan import api
-from winchspan.dead_letters.evidence import EndCircumstances, end_reason, execution_finding
+from winchspan.dead_letters.evidence import FailureContext, execution_finding, failure_reason
 from winchspan.dead_letters.record_codec import destination_snapshot, failure_history_from_json
 from winchspan.dead_letters.records import (
     AttemptHistory,
     DeadLetter,
     ExecutionEvidence,
     FailureHistory,
-    state_after_end,
+    state_after_failure,
 )
 from winchspan.delivery.messages import STATE_FAILED, AttemptRecord
 from winchspan.runtime.clock import Clock
@@ -48,16 +48,16 @@
             destination_state: what the scheduler knows of its destination, under the encoded names.
         """
         return FailureHistory(
-            reason=end_reason(self._end_circumstances(entry)),
+            reason=failure_reason(self._failure_context(entry)),
             ended_unix_ms=self._clock.unix_ms(),
             attempts=tuple(AttemptHistory(*attempt) for attempt in attempts),
             unrecorded_attempt_count=max(0, entry.attempt_count - len(attempts)),
             destination=destination_snapshot(destination_state),
         )
 
-    def _end_circumstances(self, entry: JournalEntry) -> EndCircumstances:
+    def _failure_context(self, entry: JournalEntry) -> FailureContext:
         known_class = self.settings.classes.get(entry.class_name)
-        return EndCircumstances(
+        return FailureContext(
             now_ms=self._clock.persistent_unix_ms(),
             deadline_ms=entry.deadline_ms,
             attempt_count=entry.attempt_count,
@@ -88,7 +88,7 @@
             execution_evidence=finding.evidence,
             evidence_text=finding.text,
             first_run_unix_ms=self._first_run_unix_ms(entry, history, finding.evidence),
-            state=state_after_end(finding.evidence, has_effect=has_effect),
+            state=state_after_failure(finding.evidence, has_effect=has_effect),
         )
 
     def _first_run_unix_ms(
--- a/winchspan/dead_letters/operator_actions.py
+++ b/winchspan/dead_letters/operator_actions.py
@@ -117,7 +117,7 @@
     )
 
 
-def imported(dead_letter: DeadLetter, source: str) -> DeadLetter:
+def prepare_import(dead_letter: DeadLetter, source: str) -> DeadLetter:
     """Return a message of another store as it is stored here.
 
     It is on hold unless it is closed, and the evidence that it was not executed is no better than there.
--- a/winchspan/dead_letters/policy.py
+++ b/winchspan/dead_letters/policy.py
@@ -26,9 +26,9 @@
 
     SEND = "send"
     WAIT = "wait"  # until a time
-    ASK = "ask"  # an operator must approve
+    AWAIT_APPROVAL = "ask"  # an operator must approve
     HOLD = "hold"  # not before there is proof
-    LEAVE = "leave"  # no rule applies
+    SKIP = "leave"  # no rule applies
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
         class_names: message classes that it applies to.
         destinations: numbers of destinations.
         final_states: final answers that were given.
-        reasons: reasons of `evidence.end_reason`.
+        reasons: reasons of `evidence.failure_reason`.
         evidence: whether the messages were executed.
         min_age_ms: time since the message's end before the first redelivery.
         max_age_ms: time since the message's end after which it is left alone.
@@ -109,14 +109,16 @@
         redelivery_count = dead_letter.redelivery_count
         if redelivery_count >= self.max_redeliveries and not is_approved:
             reason = f"sent again {redelivery_count} times already"
-            return RedeliveryDecision(RedeliveryAction.LEAVE, now_ms, reason, self.name)
+            return RedeliveryDecision(RedeliveryAction.SKIP, now_ms, reason, self.name)
         if now_ms - dead_letter.failure_history.ended_unix_ms > self.max_age_ms and not is_approved:
-            return RedeliveryDecision(RedeliveryAction.LEAVE, now_ms, "too old", self.name)
+            return RedeliveryDecision(RedeliveryAction.SKIP, now_ms, "too old", self.name)
         send_at_ms = self.next_open_unix_ms(max(now_ms, self._earliest_unix_ms(dead_letter)))
         if send_at_ms > now_ms:
             return RedeliveryDecision(RedeliveryAction.WAIT, send_at_ms, "its time has not come", self.name)
         if self.needs_approval and not is_approved:
-            return RedeliveryDecision(RedeliveryAction.ASK, now_ms, "an operator must approve", self.name)
+            return RedeliveryDecision(
+                RedeliveryAction.AWAIT_APPROVAL, now_ms, "an operator must approve", self.name
+            )
         return RedeliveryDecision(RedeliveryAction.SEND, now_ms, "by rule", self.name)
 
     def _earliest_unix_ms(self, dead_letter: DeadLetter) -> float:
@@ -149,7 +151,7 @@
         state = dead_letter.state
         is_signed = dead_letter.is_released or dead_letter.is_approved
         if state is not DeadLetterState.PENDING and not (state is DeadLetterState.ON_HOLD and is_signed):
-            return RedeliveryDecision(RedeliveryAction.LEAVE, now_ms, f"it is {state.value}")
+            return RedeliveryDecision(RedeliveryAction.SKIP, now_ms, f"it is {state.value}")
         message_class = self.classes.get(dead_letter.class_name)
         if message_class is None:
             reason = f"the class {dead_letter.class_name!r} is not known"
@@ -162,10 +164,10 @@
                 return rule.decide(now_ms, dead_letter)
         if dead_letter.is_approved:
             return RedeliveryDecision(RedeliveryAction.SEND, now_ms, "an operator has asked for it")
-        return RedeliveryDecision(RedeliveryAction.LEAVE, now_ms, "no rule is for it")
+        return RedeliveryDecision(RedeliveryAction.SKIP, now_ms, "no rule is for it")
 
 
-class RedeliveryRate:
+class RedeliveryRateLimiter:
     """Limits each rule to its rate; at most what falls between two rounds is saved up."""
 
     def __init__(self) -> None:
@@ -181,7 +183,7 @@
         """Return when a rule that may not redeliver now is to be asked again: in the next round or later."""
         return max(now_ms + POLL_INTERVAL_MS, self._next_unix_ms.get(rule.name, 0.0))
 
-    def is_valid(self) -> bool:
+    def is_selection_valid(self) -> bool:
         """Return whether what was selected may still be redelivered."""
         return True
 
--- a/winchspan/dead_letters/queries.py
+++ b/winchspan/dead_letters/queries.py
@@ -90,7 +90,7 @@
     """Carry a query out, and return its result as JSON.
 
     Args:
-        name: one of `NAMES`.
+        name: one of `QUERY_NAMES`.
         arguments: what `parse_arguments` has returned.
         environment: what it works with.
 
@@ -160,7 +160,7 @@
     _check_names(arguments.operator, arguments.source)
     store = environment.store
     found = [
-        operator_actions.imported(_imported_message(fields, number, arguments.source), arguments.source)
+        operator_actions.prepare_import(_imported_message(fields, number, arguments.source), arguments.source)
         for number, fields in enumerate(arguments.messages, 1)
     ]
     new = [one for one in found if not store.contains(one.id, one.deadline_unix_ms)]
@@ -235,4 +235,4 @@
     "act": Query(ActionArguments, _act, is_read_only=False),
     "import": Query(ImportArguments, _import, is_read_only=False),
 }
-NAMES: Final = tuple(_QUERIES)
+QUERY_NAMES: Final = tuple(_QUERIES)
--- a/winchspan/dead_letters/records.py
+++ b/winchspan/dead_letters/records.py
@@ -91,7 +91,7 @@
     """Why a message ended; the journal has it with the notification, so that it survives a restart.
 
     Attributes:
-        reason: one of the texts of `evidence.end_reason`.
+        reason: one of the texts of `evidence.failure_reason`.
         ended_unix_ms: when the scheduler gave the message up.
         attempts: its recorded attempts, oldest first.
         unrecorded_attempt_count: attempts before a restart, of which nothing but their number is known.
@@ -177,7 +177,7 @@
     release_statement: str
 
 
-def state_after_end(evidence: ExecutionEvidence, *, has_effect: bool) -> DeadLetterState:
+def state_after_failure(evidence: ExecutionEvidence, *, has_effect: bool) -> DeadLetterState:
     """Return the state of a message that has ended undelivered.
 
     Args:
--- a/winchspan/dead_letters/redelivery.py
+++ b/winchspan/dead_letters/redelivery.py
@@ -21,7 +21,7 @@
     RedeliveryAction,
     RedeliveryDecision,
     RedeliveryPolicy,
-    RedeliveryRate,
+    RedeliveryRateLimiter,
 )
 from winchspan.dead_letters.records import DeadLetter, DeadLetterState, ExecutionEvidence
 from winchspan.dead_letters.store import ChangeStamp, DeadLetterStore
@@ -89,7 +89,7 @@
     """Looks for messages to redeliver, round by round."""
 
     def __init__(
-        self, ports: RedeliveryPorts, policy: RedeliveryPolicy, rate: RedeliveryRate | None = None
+        self, ports: RedeliveryPorts, policy: RedeliveryPolicy, rate: RedeliveryRateLimiter | None = None
     ) -> None:
         """Make an idle worker.
 
@@ -103,7 +103,7 @@
         self._store = ports.store
         self._engine = ports.engine
         self._policy = policy
-        self._rate = rate or RedeliveryRate()
+        self._rate = rate or RedeliveryRateLimiter()
         self._next_due_unix_ms = 0.0  # as of the store's content of the stamp
         self._stamp = ChangeStamp(0, 0)
         self.sent_count = 0
@@ -173,7 +173,7 @@
     def _dispatch(self, batch: RedeliveryBatch | None) -> None:
         """Give the engine what was selected."""
         for dead_letter in batch.selected if batch is not None else ():
-            may_send = dead_letter.is_approved or self._rate.is_valid()
+            may_send = dead_letter.is_approved or self._rate.is_selection_valid()
             if may_send and self._engine.redeliver(_redelivered_message(dead_letter)):
                 self.sent_count += 1
                 logger.bind(event="resend", number=dead_letter.number, message=dead_letter.id).info(
@@ -207,7 +207,7 @@
     store: DeadLetterStore, dead_letter: DeadLetter, decision: RedeliveryDecision, now_ms: float
 ) -> None:
     """Note in the store that a message is not redelivered now."""
-    if decision.action in (RedeliveryAction.HOLD, RedeliveryAction.ASK):
+    if decision.action in (RedeliveryAction.HOLD, RedeliveryAction.AWAIT_APPROVAL):
         store.update(
             dead_letter.number, DeadLetterState.PENDING, state=DeadLetterState.ON_HOLD, note=decision.reason
         )
--- a/winchspan/dead_letters/settlement.py
+++ b/winchspan/dead_letters/settlement.py
@@ -14,7 +14,7 @@
     DeadLetterState,
     ExecutionEvidence,
     FailureHistory,
-    state_after_end,
+    state_after_failure,
 )
 from winchspan.dead_letters.store import DeadLetterStore
 from winchspan.storage.journal_records import JournalEntry
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RedeliveryEnd:
+class RedeliveryOutcome:
     """How a redelivery ended.
 
     Attributes:
@@ -40,7 +40,7 @@
     is_delivered: bool
 
 
-def changes_after_delivery(end: RedeliveryEnd) -> DeadLetterChanges:
+def changes_after_delivery(end: RedeliveryOutcome) -> DeadLetterChanges:
     """Return what a redelivery that was delivered changes of its dead letter."""
     return DeadLetterChanges(
         state=DeadLetterState.DELIVERED,
@@ -53,7 +53,7 @@
 
 
 def changes_after_failure(
-    dead_letter: DeadLetter, end: RedeliveryEnd, latest: FailureHistory, *, has_effect: bool
+    dead_letter: DeadLetter, end: RedeliveryOutcome, latest: FailureHistory, *, has_effect: bool
 ) -> DeadLetterChanges:
     """Return what a redelivery that was not delivered changes of its dead letter.
 
@@ -69,7 +69,7 @@
     if dead_letter.execution_evidence is ExecutionEvidence.MAY_HAVE_RUN and not dead_letter.is_released:
         evidence, text = dead_letter.execution_evidence, dead_letter.evidence_text
     return DeadLetterChanges(
-        state=state_after_end(evidence, has_effect=has_effect),
+        state=state_after_failure(evidence, has_effect=has_effect),
         failure_history=_merged_history(dead_letter.failure_history, latest),
         execution_evidence=evidence,
         evidence_text=text,
@@ -92,7 +92,7 @@
 
 
 def _first_run_unix_ms(
-    dead_letter: DeadLetter, end: RedeliveryEnd, evidence: ExecutionEvidence
+    dead_letter: DeadLetter, end: RedeliveryOutcome, evidence: ExecutionEvidence
 ) -> float | None:
     first_run_unix_ms = end.first_run_unix_ms
     if dead_letter.first_run_unix_ms is not None and not dead_letter.is_released:
@@ -133,7 +133,7 @@
     store.update(
         dead_letter.number,
         DeadLetterState.REDELIVERING,
-        state=state_after_end(dead_letter.execution_evidence, has_effect=needs_release),
+        state=state_after_failure(dead_letter.execution_evidence, has_effect=needs_release),
         redelivery_count=max(0, dead_letter.redelivery_count - 1),
         note="a resend did not begin",
     )
--- a/winchspan/dead_letters/setup.py
+++ b/winchspan/dead_letters/setup.py
@@ -10,8 +10,8 @@
 from winchspan.dead_letters.archiver import ArchiverSettings, DeadLetterArchiver
 from winchspan.dead_letters.policy import RedeliveryRule
 from winchspan.dead_letters.records import ExecutionEvidence
-from winchspan.dead_letters.store import FILE
-from winchspan.dead_letters.store_eviction import Bounds
+from winchspan.dead_letters.store import STORE_FILE_NAME
+from winchspan.dead_letters.store_eviction import StoreBounds
 from winchspan.runtime.clock import Clock
 
 BYTES_PER_MEGABYTE = 1e6
@@ -21,14 +21,14 @@
 
 def archiver_settings(values: Mapping[str, Any]) -> ArchiverSettings:
     """Return the settings of the section `undelivered`."""
-    bounds = Bounds(
+    bounds = StoreBounds(
         file_bytes=int(values["megabytes"] * BYTES_PER_MEGABYTE),
         message_count=values["count"],
         retention_days=values["days"],
         audit_entry_count=values["trail"],
     )
     return ArchiverSettings(
-        path=Path(values["folder"]) / FILE,
+        path=Path(values["folder"]) / STORE_FILE_NAME,
         bounds=bounds,
         is_durable=values["durable"],
         archives_failed=values["failed"],
--- a/winchspan/dead_letters/store.py
+++ b/winchspan/dead_letters/store.py
@@ -34,15 +34,15 @@
     mutable_values,
     update_statement,
 )
-from winchspan.dead_letters.store_eviction import Bounds, SpaceRequest, free_space
+from winchspan.dead_letters.store_eviction import SpaceRequest, StoreBounds, free_space
 
-FILE: Final = "undelivered.sqlite"
+STORE_FILE_NAME: Final = "undelivered.sqlite"
 IMPORT_ACTION: Final = "import"  # in the audit log
 ALL_ENTRIES: Final = 1_000_000_000
 DEFAULT_LIMIT: Final = 100
 
 _STATS_COLUMNS: Final = ("state", "end", "reason", "ran", "dest")
-_SIGNS_OF_DAMAGE: Final = ("damaged", "malformed", "not a database", "disk image", "no such table")
+_DAMAGE_ERROR_TEXTS: Final = ("damaged", "malformed", "not a database", "disk image", "no such table")
 _FILE_SUFFIXES: Final = ("", "-wal", "-shm")
 
 
@@ -59,7 +59,7 @@
     def __init__(
         self,
         path: Path,
-        bounds: Bounds,
+        bounds: StoreBounds,
         has_effect: Callable[[str], bool] = lambda class_name: True,
         *,
         durable: bool = False,
@@ -299,7 +299,12 @@
 
 
 def open_or_replace(
-    path: Path, bounds: Bounds, has_effect: Callable[[str], bool], now_ms: float, *, durable: bool = False
+    path: Path,
+    bounds: StoreBounds,
+    has_effect: Callable[[str], bool],
+    now_ms: float,
+    *,
+    durable: bool = False,
 ) -> OpenedStore:
     """Open a store; a damaged one is set aside under another name, and a new one made.
 
@@ -309,7 +314,7 @@
     try:
         return OpenedStore(DeadLetterStore(path, bounds, has_effect, durable=durable), None)
     except DeadLetterStoreError as err:
-        if not any(sign in str(err) for sign in _SIGNS_OF_DAMAGE):
+        if not any(sign in str(err) for sign in _DAMAGE_ERROR_TEXTS):
             raise
     damaged_path = path.with_name(f"{path.name}.damaged-{int(now_ms)}")
     for suffix in _FILE_SUFFIXES:
--- a/winchspan/dead_letters/store_eviction.py
+++ b/winchspan/dead_letters/store_eviction.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class StoreBounds:
     """How much is stored at most.
 
     Attributes:
@@ -45,7 +45,9 @@
     size_bytes: int
 
 
-def free_space(database: sqlite3.Connection, bounds: Bounds, request: SpaceRequest, now_ms: float) -> int:
+def free_space(
+    database: sqlite3.Connection, bounds: StoreBounds, request: SpaceRequest, now_ms: float
+) -> int:
     """Evict what must go for new messages, within a transaction, counted by rank.
 
     Args:
@@ -80,7 +82,7 @@
 
 
 def _excess_rows(
-    database: sqlite3.Connection, bounds: Bounds, request: SpaceRequest, expired: set[int]
+    database: sqlite3.Connection, bounds: StoreBounds, request: SpaceRequest, expired: set[int]
 ) -> list[_EvictableRow]:
     """Return what goes beyond the expired; the room that those make is not counted on."""
     totals = dict(database.execute("SELECT name, value FROM totals"))
--- a/winchspan/dead_letters/store_worker.py
+++ b/winchspan/dead_letters/store_worker.py
@@ -15,7 +15,7 @@
 from winchspan.dead_letters.errors import DeadLetterStoreError
 from winchspan.dead_letters.records import DeadLetter
 from winchspan.dead_letters.store import DeadLetterStore, open_or_replace
-from winchspan.dead_letters.store_eviction import Bounds
+from winchspan.dead_letters.store_eviction import StoreBounds
 from winchspan.runtime.clock import Clock
 
 MAX_MESSAGES_PER_TRANSACTION: Final = 100
@@ -36,7 +36,7 @@
     """
 
     path: Path
-    bounds: Bounds
+    bounds: StoreBounds
     is_durable: bool = False
 
 
@@ -73,7 +73,9 @@
             call_soon: hands a call to the loop from another thread.
             has_effect: whether a second delivery of a class has an effect.
         """
-        self.lost_count = 0  # messages that were not stored: too many waited, or the store was out of order
+        self.unstored_count = (
+            0  # messages that were not stored: too many waited, or the store was out of order
+        )
         self._store_settings = settings
         self._clock = clock
         self._call_soon = call_soon
@@ -116,7 +118,7 @@
         self._retries.append(call)
 
     def _report_loss(self, count: int, reason: str) -> None:
-        self.lost_count += count
+        self.unstored_count += count
         if not self._is_loss_reported:
             self._is_loss_reported = True
             logger.bind(event="undelivered_lost").error("undelivered: messages are not kept: {}", reason)
@@ -128,7 +130,7 @@
         if self._is_loss_reported:
             self._is_loss_reported = False
             logger.bind(event="undelivered_again").info(
-                "undelivered: messages are kept again; {} were not", self.lost_count
+                "undelivered: messages are kept again; {} were not", self.unstored_count
             )
 
     # ---- on the thread -----------------------------------------------------------------------------------
--- a/winchspan/delivery/admission_queue.py
+++ b/winchspan/delivery/admission_queue.py
@@ -157,7 +157,9 @@
 
 
 def _may_have_run(event: ArrivalEvent) -> bool:
-    return isinstance(event, api.MessageRecovered) and (event.rests or event.ran_ago_ns is not None)
+    return isinstance(event, api.MessageRecovered) and (
+        event.was_in_flight or event.executed_ago_ns is not None
+    )
 
 
 def _after_waiting(
@@ -174,10 +176,10 @@
     if waited_ms <= 0.0 and earlier_run is None:
         return event
     recovered = event if isinstance(event, api.MessageRecovered) else api.MessageRecovered(event)
-    left_ns = max(0, recovered.arrived.left_ns - ms_to_ns(waited_ms))
-    arrived = replace(recovered.arrived, left_ns=left_ns)
-    ran_ago_ns = recovered.ran_ago_ns
-    ran_zone = recovered.ran_zone
+    left_ns = max(0, recovered.arrived.remaining_ns - ms_to_ns(waited_ms))
+    arrived = replace(recovered.arrived, remaining_ns=left_ns)
+    ran_ago_ns = recovered.executed_ago_ns
+    ran_zone = recovered.executed_zone
     if ran_ago_ns is not None:
         ran_ago_ns += ms_to_ns(waited_ms)
     if earlier_run is not None:
@@ -187,4 +189,4 @@
             ran_zone = earlier_zone
     if isinstance(event, api.MessageArrived) and ran_ago_ns is None:
         return arrived
-    return replace(recovered, arrived=arrived, ran_ago_ns=ran_ago_ns, ran_zone=ran_zone)
+    return replace(recovered, arrived=arrived, executed_ago_ns=ran_ago_ns, executed_zone=ran_zone)
--- a/winchspan/delivery/attempts.py
+++ b/winchspan/delivery/attempts.py
@@ -183,7 +183,7 @@
     It waits as long as its most patient member: a less patient one ends by its deadline, when the scheduler
     completes the message itself. But no answer is waited for once one member would count as lost.
     """
-    until_ms = max(min(ns_to_ms(item.command.until_ns), item.message.deadline_ms) for item in batch)
+    until_ms = max(min(ns_to_ms(item.command.abandon_at_ns), item.message.deadline_ms) for item in batch)
     first_deadline_ms = min(item.message.deadline_ms for item in batch)
     return min(until_ms, first_deadline_ms + CALL_OVERTIME_MS)
 
@@ -201,7 +201,7 @@
 
 def _prepare_call(attempt: DeliveryAttempt, batch: list[ScheduledMessage]) -> _PreparedCall:
     """Choose a call's time limits."""
-    limits_ms = [ns_to_ms(item.command.begin_by_ns) for item in batch if item.command.begin_by_ns]
+    limits_ms = [ns_to_ms(item.command.send_before_ns) for item in batch if item.command.send_before_ns]
     return _PreparedCall(
         attempt,
         [OutgoingMessage(item.message.id, item.message.idempotency_key, item.message.body) for item in batch],
--- a/winchspan/delivery/event_queue.py
+++ b/winchspan/delivery/event_queue.py
@@ -61,17 +61,17 @@
         if isinstance(event, api.MessageArrived):
             return self._with_time_left(event, now)
         if isinstance(event, api.MessageRecovered):
-            ran_ago_ns = event.ran_ago_ns
+            ran_ago_ns = event.executed_ago_ns
             if ran_ago_ns is not None:  # otherwise a retry would seem to have as much more time
                 ran_ago_ns += ms_to_ns(now - suspended_at_ms)
             arrived = self._with_time_left(event.arrived, now)
-            return replace(event, arrived=arrived, ran_ago_ns=ran_ago_ns)
+            return replace(event, arrived=arrived, executed_ago_ns=ran_ago_ns)
         if isinstance(event, api.SlowStartRecovered):
-            return replace(event, ago_ns=event.ago_ns + ms_to_ns(now - suspended_at_ms))
+            return replace(event, elapsed_ns=event.elapsed_ns + ms_to_ns(now - suspended_at_ms))
         return event
 
     def _with_time_left(self, arrived: api.MessageArrived, now: float) -> api.MessageArrived:
         message = self._table.find(arrived.message)
         if message is None:
             return arrived
-        return replace(arrived, left_ns=ms_to_ns(max(0.0, message.deadline_ms - now)))
+        return replace(arrived, remaining_ns=ms_to_ns(max(0.0, message.deadline_ms - now)))
--- a/winchspan/delivery/hand_over.py
+++ b/winchspan/delivery/hand_over.py
@@ -128,7 +128,7 @@
                 message.destination.id,
                 left_ns,
                 key=message.key,
-                lowest=message.is_lowest,
+                is_lowest_priority=message.is_lowest_priority,
             )
             overload_control.message_arrived(now, arrived, message.message_class)
         for call in scheduler.running.values():
--- a/winchspan/delivery/intake.py
+++ b/winchspan/delivery/intake.py
@@ -67,7 +67,7 @@
             message.destination,
             left_ns,
             key=submitted.key,
-            repeat=submitted.is_repeated,
+            is_repeated=submitted.is_repeated,
         )
         self._admission.enter(message, arrived, message_class)
         return message.handle
@@ -179,10 +179,10 @@
             redelivered.destination,
             message_class.deadline_ns,
             redelivered.key if message_class.ordered else None,
-            token="",
-            repeat=True,
-            again=False,
-            held=self._table.held_count,
+            idempotency_key="",
+            is_repeated=True,
+            is_resubmitted=False,
+            held_count=self._table.held_count,
         )
         if self._context.overload_control.admit(ms_to_ns(now), request) is not None:
             return False
@@ -244,7 +244,7 @@
             redelivered.destination,
             left_ns,
             key=redelivered.key,
-            lowest=True,
+            is_lowest_priority=True,
         )
         return api.MessageRecovered(arrived, 0, ran_ago_ns)
 
--- a/winchspan/delivery/reconfiguration.py
+++ b/winchspan/delivery/reconfiguration.py
@@ -9,7 +9,7 @@
 from winchspan import api
 from winchspan.config.json_fields import FieldError
 from winchspan.config.settings import message_class_from_json, message_class_to_json
-from winchspan.config.transitions import CLASS_SWITCH_MS, transitional_classes, with_attempt_limits
+from winchspan.config.transitions import CLASS_TRANSITION_MS, transitional_classes, with_attempt_limits
 from winchspan.delivery.context import EngineContext
 from winchspan.delivery.dispatch_cycle import DispatchCycle
 from winchspan.delivery.event_queue import EventQueue
@@ -39,7 +39,7 @@
         if self._switch_timer is not None:
             self._switch_timer.cancel()
         self._switch_timer = self._context.timers.call_later(
-            CLASS_SWITCH_MS, lambda: self._finish_switch(target)
+            CLASS_TRANSITION_MS, lambda: self._finish_switch(target)
         )
 
     def _finish_switch(self, settings: api.Settings) -> None:
--- a/winchspan/delivery/recovery.py
+++ b/winchspan/delivery/recovery.py
@@ -164,7 +164,7 @@
             entry.destination,
             ms_to_ns(max(0.0, left_ms)),
             key=entry.key,
-            lowest=entry.redelivery_of > 0,
+            is_lowest_priority=entry.redelivery_of > 0,
         )
         return api.MessageRecovered(
             arrived,
@@ -172,5 +172,5 @@
             ran_ago_ns,
             entry.first_executed_zone,
             was_in_flight,
-            over=entry.owed_notification is not None,
+            is_completed=entry.owed_notification is not None,
         )
--- a/winchspan/fakes/clients.py
+++ b/winchspan/fakes/clients.py
@@ -281,7 +281,7 @@
         if message.delivered_at is None:
             return 0.0
         message_class = self.classes[message.stream.cls]
-        objective_ms = ns_to_ms(message_class.aim_ns)
+        objective_ms = ns_to_ms(message_class.latency_objective_ns)
         late_ms = message.delivered_at - message.born - objective_ms
         if late_ms <= 0:
             return message_class.worth
--- a/winchspan/fakes/platform.py
+++ b/winchspan/fakes/platform.py
@@ -10,14 +10,14 @@
 SECOND_NS: Final = 1_000_000_000
 KIND: Final = "mid-host"  # of all endpoints
 _EFFECTS = {api.Effect.REPEATABLE: "repeatable", api.Effect.KEYED: "by_key", api.Effect.ONCE: "once"}
-_RATES = {api.ListedRate.NONE: "none", api.ListedRate.EXACT: "nominal", api.ListedRate.ROUGH: "rough"}
+_RATES = {api.ListedRate.NONE: "none", api.ListedRate.EXACT: "nominal", api.ListedRate.APPROXIMATE: "rough"}
 
 
 def _message_classes() -> dict[str, api.MessageClass]:
     payment = api.MessageClass(
         "order-payment",
         worth=2.0,
-        aim_ns=4 * SECOND_NS,
+        latency_objective_ns=4 * SECOND_NS,
         deadline_ns=24 * SECOND_NS,
         late_worth=0.4,
         effect=api.Effect.KEYED,
@@ -27,7 +27,7 @@
     notice = api.MessageClass(
         "gallery-notice",
         worth=1.0,
-        aim_ns=3 * SECOND_NS // 2,
+        latency_objective_ns=3 * SECOND_NS // 2,
         deadline_ns=5 * SECOND_NS,
         late_worth=0.1,
         effect=api.Effect.REPEATABLE,
@@ -49,7 +49,7 @@
         max_held=200,
         senders=couriers,
         me=me,
-        worth_halves=True,
+        halves_late_worth=True,
         listed_rate=api.ListedRate.EXACT,
         max_attempts=6,
         can_cancel=True,
@@ -72,7 +72,7 @@
     return {
         "name": message_class.name,
         "gain": message_class.worth,
-        "goal_time_ns": message_class.aim_ns,
+        "goal_time_ns": message_class.latency_objective_ns,
         "hard_limit_ns": message_class.deadline_ns,
         "late_worth": message_class.late_worth,
         "idempotency": _EFFECTS[message_class.effect],
@@ -84,10 +84,10 @@
 
 def _family_to_wire(settings: api.Settings) -> dict[str, Any]:
     return {
-        "decay": "by_half" if settings.worth_halves else "even",
+        "decay": "by_half" if settings.halves_late_worth else "even",
         "workers": settings.slots,
-        "kind_apart": [kind.apart for kind in settings.kinds.values()],
-        "per_call": [kind.per_call for kind in settings.kinds.values()],
+        "kind_apart": [kind.has_separate_routes for kind in settings.kinds.values()],
+        "per_call": [kind.messages_per_call for kind in settings.kinds.values()],
         "fee_by_zone": list(settings.zone_fees.values()),
         "refused_price": settings.refused_price,
     }
@@ -99,7 +99,7 @@
         "try_limit": settings.max_attempts,
         "cancel": settings.can_cancel,
         "second_copies": settings.second_copies,
-        "peers": settings.can_tell_peers,
+        "peers": settings.can_notify_peers,
         "retry_after": settings.max_retry_after_ns > 0,
         "max_retry_after_ns": settings.max_retry_after_ns,
         "connect_timeout_ns": settings.connect_timeout_ns,
@@ -133,7 +133,7 @@
         "request_classes": [_class_to_wire(each) for each in settings.classes.values()],
         "over_share_worth": settings.over_share_worth,
         "discovery": "ask" if settings.must_subscribe else "push",
-        "load_report": {"how": "answers" if settings.answers_report else "none"},
+        "load_report": {"how": "answers" if settings.responses_report_load else "none"},
         "family_info": _family_to_wire(settings),
         "limits": _limits_to_wire(settings),
         "rules": _rules_to_wire(settings),
--- a/winchspan/fakes/rehearsal_in_process.py
+++ b/winchspan/fakes/rehearsal_in_process.py
@@ -17,8 +17,8 @@
 from winchspan.dead_letters.archiver import ArchiverSettings
 from winchspan.dead_letters.policy import RedeliveryPolicy
 from winchspan.dead_letters.redelivery import RedeliveryPorts, RedeliveryWorker
-from winchspan.dead_letters.store import FILE
-from winchspan.dead_letters.store_eviction import Bounds
+from winchspan.dead_letters.store import STORE_FILE_NAME
+from winchspan.dead_letters.store_eviction import StoreBounds
 from winchspan.delivery.engine import DeliveryEngine
 from winchspan.delivery.errors import BadRequestError, RejectedError
 from winchspan.delivery.messages import AttemptResult, OutgoingMessage, SubmittedMessage
@@ -208,7 +208,7 @@
         settings = replace(
             platform(scenario.couriers, self._number, **scenario.changes),
             can_recall=True,
-            ends_are_heard=True,
+            notifications_are_acknowledged=True,
         )
         self._timers = _IncarnationTimers(rehearsal.timers, rehearsal.clock)
         self._journal = Journal(self._directory, JOURNAL_QUOTA_BYTES)
@@ -220,7 +220,7 @@
         self.engine = engine
         engine.update_endpoints(rehearsal.endpoint_list(api.UpdateScope.STALE))
         engine.recover()
-        engine.update_endpoints(rehearsal.endpoint_list(api.UpdateScope.WHOLE))
+        engine.update_endpoints(rehearsal.endpoint_list(api.UpdateScope.SNAPSHOT))
         if self._archiver is not None and scenario.resends is not None:
             RedeliveryWorker(
                 RedeliveryPorts(rehearsal.clock, self._timers, self._archiver, engine),
@@ -241,7 +241,7 @@
         return InlineArchiver(
             self._timers.call_later,
             random.Random(seed),
-            ArchiverSettings(self._directory / FILE, Bounds()),
+            ArchiverSettings(self._directory / STORE_FILE_NAME, StoreBounds()),
             settings,
             self._rehearsal.clock,
         )
@@ -352,7 +352,7 @@
         self._endpoint_generations[partner_number] += 1
         for node in self.nodes:
             if node.engine is not None:
-                node.engine.update_endpoints(self.endpoint_list(api.UpdateScope.WHOLE))
+                node.engine.update_endpoints(self.endpoint_list(api.UpdateScope.SNAPSHOT))
 
     def _submit(self, message: Message, is_retry: bool) -> None:
         self.nodes[self._load_balancer.choose_courier(message)].submit(message, is_retry)
--- a/winchspan/net/attempt_transport.py
+++ b/winchspan/net/attempt_transport.py
@@ -25,11 +25,11 @@
 
 _OUTCOMES: Final = {
     HttpCallOutcome.NOT_WRITTEN: api.Outcome.CONNECT_FAILED,
-    HttpCallOutcome.BROKEN: api.Outcome.RESET,
+    HttpCallOutcome.CONNECTION_LOST: api.Outcome.RESET,
     HttpCallOutcome.TIMED_OUT: api.Outcome.TIMEOUT,
     HttpCallOutcome.CANCELLED: api.Outcome.CANCELLED,
     HttpCallOutcome.RECALLED: api.Outcome.NOT_SENT,
-    HttpCallOutcome.SPOILT: api.Outcome.ERROR,
+    HttpCallOutcome.INVALID_RESPONSE: api.Outcome.ERROR,
 }
 _BATCH_STATES: Final = {
     "ok": (api.Outcome.DELIVERED, True),
@@ -120,7 +120,7 @@
         """
         record = self._directory.endpoints[endpoint]
         if self.shared_backoff_ms is not None:
-            backoff_ms = self.shared_backoff_ms(record.dest)
+            backoff_ms = self.shared_backoff_ms(record.destination)
             if backoff_ms > 0.0:
                 results = [AttemptResult(api.Outcome.NOT_SENT, retry_after_ms=backoff_ms)] * len(messages)
                 return self._pool.immediate_call(lambda: on_results(results))
@@ -129,7 +129,7 @@
             record.peer,
             partial(self._make_request, content, record.address, deadline_ms, is_wanted),
             deadline_ms,
-            lambda result: on_results(self._read(result, content, record.dest)),
+            lambda result: on_results(self._read(result, content, record.destination)),
             CallOptions(
                 start_by_ms=start_by_ms,
                 on_written=lambda: self._metrics.count_sent(len(content.sent_messages)),
--- a/winchspan/net/client_connection.py
+++ b/winchspan/net/client_connection.py
@@ -35,7 +35,7 @@
 READ_LIMIT_MS: Final = 3_000.0
 """For a client to read its replies."""
 
-CLIENT_PATIENCE_MS: Final = 400.0
+CLIENT_REPLY_TIMEOUT_MS: Final = 400.0
 """A client waits so long for a reply, and then closes its connection."""
 
 SILENT_AFTER_MS: Final = 300.0
@@ -154,7 +154,7 @@
         if transport is None or transport.is_closing() or self._shut_down_at_ms is not None:
             return
         age_ms = max(0.0, self._registry.now() - self._receive_age.received_after_ms)
-        if age_ms >= CLIENT_PATIENCE_MS and self._has_client_closed():
+        if age_ms >= CLIENT_REPLY_TIMEOUT_MS and self._has_client_closed():
             transport.abort()
             return
         bad_request_count = self.bad_request_count
@@ -267,7 +267,7 @@
         """Return whether it has asked for nothing yet, and its client may still be about to."""
         if self._has_answered or self._shut_down_at_ms is not None:
             return False
-        return now_ms - self._active_since_ms < CLIENT_PATIENCE_MS
+        return now_ms - self._active_since_ms < CLIENT_REPLY_TIMEOUT_MS
 
     def is_silent(self, now_ms: float) -> bool:
         """Return whether its client has sent no complete request for longer than one takes."""
--- a/winchspan/net/client_listener.py
+++ b/winchspan/net/client_listener.py
@@ -136,12 +136,12 @@
     def add(self, connection: ClientConnection) -> None:
         """Count a connection in."""
         connection.handle = self._connections.add(connection)
-        self._budget.open += 1
+        self._budget.open_count += 1
 
     def remove(self, connection: ClientConnection) -> None:
         """Forget a connection that is closed; there is room again."""
         if self._connections.remove(connection.handle) is not None:
-            self._budget.open -= 1
+            self._budget.open_count -= 1
             self._start_accepting()
             if self._all_closed is not None and not len(self._connections):
                 self._all_closed.set()
@@ -250,7 +250,7 @@
         hundreds of silent clients that would keep the usual ones in the backlog for seconds.
         """
         is_below_limit = len(self._connections) < self._limit
-        if is_below_limit and (self._budget.spare() > 0 or self._free_descriptor()):
+        if is_below_limit and (self._budget.available() > 0 or self._free_descriptor()):
             return True
         now_ms = self._clock.now()
         silent = [connection for connection in self._connections if connection.is_silent(now_ms)]
--- a/winchspan/net/connection_pool.py
+++ b/winchspan/net/connection_pool.py
@@ -145,13 +145,13 @@
 
     def _connect(self, peer: HttpPeer, call: HttpCall) -> None:
         """Open a connection for a call."""
-        if self._budget.spare() < 1:
+        if self._budget.available() < 1:
             self.retire_oldest()
         connection = HttpConnection(self, peer)
         connection.handle = self._connections.add(connection)
         connection.call = call
         call.connection = connection
-        self._budget.open += 1
+        self._budget.open_count += 1
         limit_ms = self._clock.now() + self._connect_timeout_ms
         call.timers.append(self._timers.call_at(limit_ms, lambda: self._connect_timed_out(connection, call)))
         connection.connect(self._loop)
@@ -164,7 +164,7 @@
     def immediate_call(self, action: Callable[[], None]) -> HttpCall:
         """Return a call that is never written; `action` is called in the next cycle of the loop."""
         self._timers.call_later(0.0, action)
-        return HttpCall.adopted()
+        return HttpCall.without_connection()
 
     def recall(self, peer: HttpPeer) -> None:
         """Recall the calls to a peer that have not been written."""
@@ -185,7 +185,7 @@
         """
         if deadline_ms is None:
             deadline_ms = self._clock.now() + RESPONSE_LIMIT_MS
-        timer = self._timers.call_at(deadline_ms, lambda: call.abort(HttpCallOutcome.SPOILT))
+        timer = self._timers.call_at(deadline_ms, lambda: call.abort(HttpCallOutcome.INVALID_RESPONSE))
         call.timers.append(timer)
         return timer
 
@@ -238,7 +238,7 @@
         """Forget a connection that is closed."""
         self._forget_idle(connection)
         if self._connections.remove(connection.handle) is not None:
-            self._budget.open -= 1
+            self._budget.open_count -= 1
 
     # ---- upgrade -----------------------------------------------------------------------------------------
     def recall_all_unwritten(self) -> None:
@@ -269,7 +269,7 @@
 
     def _endpoint_connections(self) -> list[HttpConnection]:
         """Return all connections but those to discovery."""
-        return [connection for connection in self._connections if connection.peer.number]
+        return [connection for connection in self._connections if connection.peer.endpoint_number]
 
     def adopt_idle(self, sock: socket.socket, peer: HttpPeer, idle_limit_ms: float | None) -> None:
         """Take over an idle connection that another process has opened, idle for so many ms more at most."""
@@ -284,7 +284,7 @@
         state: HttpCallState,
         on_result: Callable[[HttpCallResult], None],
     ) -> None:
-        """Take over a connection with a call in flight on it, from `HttpCall.adopted`."""
+        """Take over a connection with a call in flight on it, from `HttpCall.without_connection`."""
         connection = self._adopted_connection(state.peer)
         call.on_result = on_result
         call.timers.append(
@@ -298,7 +298,7 @@
         connection.is_adopted = True
         connection.is_written = True  # from the first moment: it must not be recalled as if it were not
         connection.handle = self._connections.add(connection)
-        self._budget.open += 1
+        self._budget.open_count += 1
         return connection
 
 
--- a/winchspan/net/endpoint_directory.py
+++ b/winchspan/net/endpoint_directory.py
@@ -30,7 +30,7 @@
 MAX_OFFLINE_ENDPOINTS: Final = 500
 """Endpoints taken offline by operators: their names are in the journal."""
 
-MAX_DESTINATION: Final = 10**18 - 1
+MAX_DESTINATION_NUMBER: Final = 10**18 - 1
 """The greatest number of a destination that clients can name; a hand-over encodes it in 64 bits."""
 
 _STATUSES: Final = {
@@ -48,7 +48,7 @@
         number: the directory's own number of it.
         name: the list's name of it.
         address: where it listens.
-        dest: the destination that it belongs to.
+        destination: the destination that it belongs to.
         zone: where it is.
         kind: the kind of destination, as the settings name it.
         status: whether it takes anything new.
@@ -58,7 +58,7 @@
     number: int
     name: str
     address: Address
-    dest: int
+    destination: int
     zone: str
     kind: str
     status: api.EndpointStatus
@@ -71,7 +71,9 @@
 
     def to_entry(self) -> api.EndpointEntry:
         """Return the endpoint as the scheduler sees it."""
-        return api.EndpointEntry(self.number, self.dest, self.status, self.zone, self.kind, self.listed_rate)
+        return api.EndpointEntry(
+            self.number, self.destination, self.status, self.zone, self.kind, self.listed_rate
+        )
 
 
 class EndpointDirectory:
@@ -131,7 +133,7 @@
             self._store(record)
         self._forget()
         if scope is None:
-            scope = api.UpdateScope.WHOLE if is_complete else api.UpdateScope.CHANGES
+            scope = api.UpdateScope.SNAPSHOT if is_complete else api.UpdateScope.CHANGES
         self._publish(scope, records)
 
     def _read_endpoints(self, data: dict[str, Any]) -> list[EndpointRecord]:
@@ -175,25 +177,25 @@
         self.endpoints[record.number] = record
         self._known_names[record.name] = None
         if before is None:
-            self.endpoint_counts[record.dest] = self.endpoint_counts.get(record.dest, 0) + 1
+            self.endpoint_counts[record.destination] = self.endpoint_counts.get(record.destination, 0) + 1
         elif before.address != record.address:
             self._on_drain(before.peer)
-        if self._entry(record).listing is not api.EndpointStatus.IN_SERVICE:
+        if self._entry(record).status is not api.EndpointStatus.IN_SERVICE:
             self._on_drain(record.peer)
 
     def _entry(self, record: EndpointRecord) -> api.EndpointEntry:
         """Return an endpoint as the scheduler is to see it: one that is offline drains."""
         entry = record.to_entry()
-        if entry.listing is not api.EndpointStatus.IN_SERVICE:
+        if entry.status is not api.EndpointStatus.IN_SERVICE:
             return entry
         if record.name in self.offline_names:
-            return replace(entry, listing=api.EndpointStatus.DRAINING)
-        return replace(entry, cold=record.name in self._returning_names)
+            return replace(entry, status=api.EndpointStatus.DRAINING)
+        return replace(entry, needs_slow_start=record.name in self._returning_names)
 
     def _publish(self, scope: api.UpdateScope, records: list[EndpointRecord]) -> None:
         entries = tuple(self._entry(record) for record in records)
         for record, entry in zip(records, entries, strict=True):
-            if entry.cold:
+            if entry.needs_slow_start:
                 self._returning_names.discard(record.name)
         self._on_update(api.EndpointsUpdated(scope, entries))
 
@@ -204,12 +206,12 @@
         gone = [record for record in self.endpoints.values() if record.status is api.EndpointStatus.GONE]
         for record in gone[: max(0, len(gone) - MAX_GONE_ENDPOINTS)]:
             del self.endpoints[record.number]
-            del self._numbers[record.name, record.dest]
-            self.endpoint_counts[record.dest] -= 1
-            if not self.endpoint_counts[record.dest]:
-                del self.endpoint_counts[record.dest]
+            del self._numbers[record.name, record.destination]
+            self.endpoint_counts[record.destination] -= 1
+            if not self.endpoint_counts[record.destination]:
+                del self.endpoint_counts[record.destination]
 
-    def listed_numbers(self) -> list[int]:
+    def listed_endpoint_numbers(self) -> list[int]:
         """Return the numbers of the endpoints in the list."""
         return [
             record.number
@@ -217,12 +219,12 @@
             if record.status is not api.EndpointStatus.GONE
         ]
 
-    def in_service(self) -> list[EndpointRecord]:
+    def in_service_endpoints(self) -> list[EndpointRecord]:
         """Return the endpoints that new calls may go to, as the list and operators have it now."""
         return [
             record
             for record in self.endpoints.values()
-            if self._entry(record).listing is api.EndpointStatus.IN_SERVICE
+            if self._entry(record).status is api.EndpointStatus.IN_SERVICE
         ]
 
     # ---- taken offline by operators ----------------------------------------------------------------------
@@ -294,6 +296,6 @@
 def _read_destination(row: dict[str, Any]) -> int:
     """Return the number of the destination that an entry belongs to; raises FieldError if there is none."""
     number = read_integer(row, "block")
-    if abs(number) > MAX_DESTINATION:
+    if abs(number) > MAX_DESTINATION_NUMBER:
         raise FieldError(f"field 'block' is out of range: {number!s:.60}")
     return number
--- a/winchspan/net/http_call.py
+++ b/winchspan/net/http_call.py
@@ -20,11 +20,11 @@
 
     ANSWERED = "answered"
     NOT_WRITTEN = "not written"  # its last byte was never written
-    BROKEN = "broken"  # the connection ended after that
+    CONNECTION_LOST = "broken"  # the connection ended after that
     TIMED_OUT = "timed out"
     CANCELLED = "cancelled"
     RECALLED = "recalled"  # withdrawn before its last byte was written
-    SPOILT = "spoilt"  # the response violates the protocol, or does not come to an end
+    INVALID_RESPONSE = "spoilt"  # the response violates the protocol, or does not come to an end
 
 
 @dataclass(slots=True)
@@ -50,7 +50,7 @@
     """
 
     address: Address
-    number: int = 0
+    endpoint_number: int = 0
 
 
 class CallConnection(Protocol):
@@ -122,7 +122,7 @@
         self.context: Any = None  # what its owner needs to read the response
 
     @classmethod
-    def adopted(cls) -> HttpCall:
+    def without_connection(cls) -> HttpCall:
         """Return a call without a connection yet, such as one that another process has written."""
         return cls(list, ignore_result, ResponseParser(), has_response_limit=True, start_by_ms=None)
 
--- a/winchspan/net/http_connection.py
+++ b/winchspan/net/http_connection.py
@@ -184,7 +184,7 @@
     def _result_of_close(self, call: HttpCall) -> HttpCallResult:
         """Return what the end of the connection means for its call."""
         if self.is_written:
-            outcome = call.forced_outcome or HttpCallOutcome.BROKEN
+            outcome = call.forced_outcome or HttpCallOutcome.CONNECTION_LOST
             return HttpCallResult(outcome, first_line_status=call.parser.first_line_status)
         if call.forced_outcome in (HttpCallOutcome.CANCELLED, HttpCallOutcome.RECALLED):
             return HttpCallResult(call.forced_outcome)
@@ -277,7 +277,7 @@
             buffer.start = call.parser.feed(buffer.data, buffer.start, buffer.end)
         except HttpProtocolError as err:
             logger.warning("http connection to {}: {}", self.peer.address, err)
-            call.abort(HttpCallOutcome.SPOILT)
+            call.abort(HttpCallOutcome.INVALID_RESPONSE)
             return
         if call.parser.is_complete or call.parser.is_rejection:
             self._finish_response(call)
--- a/winchspan/net/notifications.py
+++ b/winchspan/net/notifications.py
@@ -19,7 +19,7 @@
 RESPONSE_LIMIT_MS: Final = 100.0
 """The response comes at once; a message's end may be 300 ms late, and no more."""
 
-REPEAT_DELAY_MS: Final = 50.0
+RETRY_DELAY_MS: Final = 50.0
 MAX_BATCH: Final = 200
 """Notifications in one request."""
 
@@ -29,14 +29,14 @@
     """One end that the platform is owed.
 
     Attributes:
-        message: the message's id.
+        message_id: the id of the completed message.
         state: "failed" or "returned", as the platform reads it.
         retry_after_ms: when its client should come again; 0: not stated.
         on_acknowledged: called once it has been acknowledged.
         reason: in words; sent only where the operator's file says so.
     """
 
-    message: str
+    message_id: str
     state: str
     retry_after_ms: int
     on_acknowledged: Callable[[], None]
@@ -44,7 +44,7 @@
 
     def encode(self) -> bytes:
         """Return the notification as the platform reads it."""
-        data: dict[str, object] = {"id": self.message, "state": self.state}
+        data: dict[str, object] = {"id": self.message_id, "state": self.state}
         if self.state == "returned" and self.retry_after_ms:
             data["after_ms"] = self.retry_after_ms
         if self.reason:
@@ -129,7 +129,7 @@
             return
         status = response.status if response is not None else result.outcome.value
         logger.warning("notifications: {} not acknowledged: {}", len(batch), status)
-        self._timers.call_later(REPEAT_DELAY_MS, self._send)
+        self._timers.call_later(RETRY_DELAY_MS, self._send)
 
     def _acknowledge(self, batch: list[Notification]) -> None:
         del self._pending[: len(batch)]
--- a/winchspan/net/socket_budget.py
+++ b/winchspan/net/socket_budget.py
@@ -8,13 +8,13 @@
 
     Attributes:
         limit: how many may be open.
-        open: how many are open.
+        open_count: how many are open.
     """
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
-        self.open = 0
+        self.open_count = 0
 
-    def spare(self) -> int:
+    def available(self) -> int:
         """Return how many more may be opened."""
-        return self.limit - self.open
+        return self.limit - self.open_count
--- a/winchspan/overload/admission_capacity.py
+++ b/winchspan/overload/admission_capacity.py
@@ -50,11 +50,11 @@
         if len(destination.held) >= max_held:
             return False
         ahead = len(destination.held) if is_last else destination.held.count_in_time(now)
-        if is_last or not request.repeat:
+        if is_last or not request.is_repeated:
             ahead += destination.anonymous_reservations.count(now)
         remaining_outage_ns = destination.remaining_outage_ns(now, self._settings)
         wait_ns = remaining_outage_ns + destination.drain_ns(now, ahead + 1, self._settings)
-        return wait_ns <= DEADLINE_MARGIN * request.left_ns
+        return wait_ns <= DEADLINE_MARGIN * request.remaining_ns
 
     def _capacity_share(self, request: AdmissionRequest) -> float:
         """Return the share of the capacity that a message may use: from a half to all, by its worth.
@@ -62,7 +62,7 @@
         Where capacity is short, what is worth most gets the rest of it: the class's worth, less once it is
         late.
         """
-        cls = request.cls
-        is_late = request.left_ns < cls.deadline_ns - cls.aim_ns
+        cls = request.message_class
+        is_late = request.remaining_ns < cls.deadline_ns - cls.latency_objective_ns
         worth = cls.worth * (max(cls.late_worth, MIN_LATE_WORTH) if is_late else 1.0)
         return MIN_CAPACITY_SHARE + (1.0 - MIN_CAPACITY_SHARE) * min(1.0, worth / self._max_worth)
--- a/winchspan/overload/governor.py
+++ b/winchspan/overload/governor.py
@@ -121,7 +121,9 @@
             destination = self._destinations.find_or_track(now, event.destination)
             if destination is None:
                 return
-        destination.held.add(now, event.message, now + event.left_ns - cls.deadline_ns + cls.aim_ns)
+        destination.held.add(
+            now, event.message, now + event.remaining_ns - cls.deadline_ns + cls.latency_objective_ns
+        )
         if attempt_count > 1:
             # Guards against a courier that comes back in the middle of a storm and knows nothing of it: what
             # its journal holds was tried in vain. One attempt is no sign: it was in flight at the restart.
@@ -198,9 +200,9 @@
         destination = self._destinations.find_or_track(now, request.destination)
         if destination is None:
             return None
-        token = request.token
+        token = request.idempotency_key
         is_recent_key = bool(token) and self._recent_keys.check_and_add(now, token.encode())
-        is_retry = request.repeat or request.again or is_recent_key
+        is_retry = request.is_repeated or request.is_resubmitted or is_recent_key
         destination.tracker.record_arrival(now, is_retry=is_retry)
         if now >= destination.evaluate_at:
             self._evaluate(now, destination)
@@ -227,26 +229,26 @@
         status = self._reservation_status(now, destination, request, is_retry=is_retry)
         if status is ReservationStatus.EARLY:
             destination.count(OverloadEvent.REJECTED_EARLY)
-            self._reservations.mark_early(destination.id, request.token)
+            self._reservations.mark_early(destination.id, request.idempotency_key)
             return self._retry_slots.reject(now, destination, request)
         has_reservation = status is ReservationStatus.DUE
-        is_last = is_retry and not request.again and not has_reservation
+        is_last = is_retry and not request.is_resubmitted and not has_reservation
         if not self._capacity.admits(now, destination, request, is_last=is_last):
             destination.count(_capacity_rejection(has_reservation=has_reservation, is_retry=is_retry))
             return self._retry_slots.reject(now, destination, request)
         admitted = OverloadEvent.ADMITTED_RESERVED if has_reservation else OverloadEvent.ADMITTED
         destination.count(admitted)
-        self._reservations.release(destination.id, request.token, request.key)
+        self._reservations.release(destination.id, request.idempotency_key, request.key)
         return None
 
     def _reservation_status(
         self, now: int, destination: TrackedDestination, request: AdmissionRequest, *, is_retry: bool
     ) -> ReservationStatus:
         """Return how a client stands to its reservation; one without an idempotency key has the earliest."""
-        if request.again or not is_retry:
+        if request.is_resubmitted or not is_retry:
             return ReservationStatus.NONE  # a courier that had it died, or it is new
-        if request.token:
-            return self._reservations.status(now, destination.id, request.token)
+        if request.idempotency_key:
+            return self._reservations.status(now, destination.id, request.idempotency_key)
         return destination.anonymous_reservations.claim(now)
 
     # ---- rejections --------------------------------------------------------------------------------------
--- a/winchspan/overload/retry_slots.py
+++ b/winchspan/overload/retry_slots.py
@@ -63,15 +63,17 @@
 
     def reject(self, now: int, destination: TrackedDestination, request: AdmissionRequest) -> Rejection:
         """Reject a message, and reserve a slot for its client."""
-        known = self._reservations.find(destination.id, request.token)
+        known = self._reservations.find(destination.id, request.idempotency_key)
         if known is not None and known.arrive_at > now + self._overload_settings.early_tolerance_ns:
             slot = RetrySlot(known.arrive_at, known.slot_at)  # too early: the same time again
         elif known is not None and known.slot_at > now:  # its wait was capped: it keeps its slot
             slot = RetrySlot(self.cap(now, known.slot_at), known.slot_at)
         else:
             slot = self.next_slot(now, destination)
-        self._reservations.reserve(destination.id, request.token, request.key, slot.arrive_at, slot.slot_at)
-        if not request.token:
+        self._reservations.reserve(
+            destination.id, request.idempotency_key, request.key, slot.arrive_at, slot.slot_at
+        )
+        if not request.idempotency_key:
             destination.anonymous_reservations.reserve(slot.arrive_at)
         return rejection(now, destination, slot.arrive_at)
 
@@ -80,7 +82,9 @@
     ) -> Rejection:
         """Reject a message until an earlier one of its ordering key has come."""
         arrive_at = self.cap(now, key_blocked_until)
-        self._reservations.reserve(destination.id, request.token, None, arrive_at, key_blocked_until)
+        self._reservations.reserve(
+            destination.id, request.idempotency_key, None, arrive_at, key_blocked_until
+        )
         reason = f"partner {destination.id}: an earlier order of the same key comes first"
         return Rejection(arrive_at - now, reason)
 
--- a/winchspan/replication/placement.py
+++ b/winchspan/replication/placement.py
@@ -92,7 +92,7 @@
         self._forget_finished_shutdown(owner, alive)
         must_move = lease is not None and (
             _has_lost_journal(owner, lease, lease_table, *journal_epochs.get(owner, (0, 0)))
-            or self._hands_over(owner, lease)
+            or self._is_handing_over(owner, lease)
         )
         if owner in alive and not must_move:
             self._reset(owner)
@@ -115,7 +115,7 @@
         if incarnation and alive.get(owner, incarnation) != incarnation:
             del self._shutting_down[owner]  # it has restarted
 
-    def _hands_over(self, owner: str, lease: Lease) -> bool:
+    def _is_handing_over(self, owner: str, lease: Lease) -> bool:
         return (lease.holder, lease.process_nonce) == (owner, self._shutting_down.get(owner, 0))
 
     def _choose_successor(
