--- a/winchspan/replication/replica_store.py
+++ b/winchspan/replication/replica_store.py
@@ -29,8 +29,8 @@
 from winchspan.storage.record_file import Record, encode_record, iterate_records
 
 _OWNER_NAME: Final = re.compile(r"[0-9A-Za-z_-]{1,64}")  # it is part of a path
-_OWN_KINDS: Final = ("file", "whole", "copy", "promise")  # of records that no owner sends
-_SHOWN_BYTES: Final = 40  # of an invalid record, in the error's message
+_RESERVED_KINDS: Final = ("file", "whole", "copy", "promise")  # of records that no owner sends
+_MAX_SHOWN_BYTES: Final = 40  # of an invalid record, in the error's message
 
 
 class InvalidRecordsError(StorageError, ValueError):
@@ -54,15 +54,15 @@
     try:
         record = records[0]
         fields = json.loads(record.line)
-        is_own_kind = fields["t"] in _OWN_KINDS
+        is_reserved_kind = fields["t"] in _RESERVED_KINDS
     except (IndexError, KeyError, TypeError, ValueError) as err:
-        raise InvalidRecordsError(f"no record: {item[:_SHOWN_BYTES]!r}") from err
-    if len(records) != 1 or record.size_bytes != len(item) or is_own_kind:
-        raise InvalidRecordsError(f"no record: {item[:_SHOWN_BYTES]!r}")
+        raise InvalidRecordsError(f"no record: {item[:_MAX_SHOWN_BYTES]!r}") from err
+    if len(records) != 1 or record.size_bytes != len(item) or is_reserved_kind:
+        raise InvalidRecordsError(f"no record: {item[:_MAX_SHOWN_BYTES]!r}")
     try:  # before any is written: what is on disk must be what can be applied
         decode_journal_record(fields, record.body)
     except (KeyError, TypeError, ValueError) as err:
-        raise InvalidRecordsError(f"not the fields of its kind: {item[:_SHOWN_BYTES]!r}") from err
+        raise InvalidRecordsError(f"not the fields of its kind: {item[:_MAX_SHOWN_BYTES]!r}") from err
     return fields, record
 
 
@@ -81,7 +81,7 @@
             OSError: a file cannot be opened, truncated or removed.
         """
         self._epoch = 0
-        self._last_sequence = 0
+        self._last_index = 0
         self._promised_epoch = 0
         super().__init__(directory, limit_bytes, disk)
 
@@ -91,16 +91,16 @@
         return self._epoch
 
     @property
-    def last_sequence(self) -> int:
+    def last_index(self) -> int:
         """The sequence number of the last record up to which there is no gap."""
-        return self._last_sequence
+        return self._last_index
 
     @property
     def promised_epoch(self) -> int:
         """Nothing under an earlier epoch is accepted."""
         return self._promised_epoch
 
-    def append(self, epoch: int, first_sequence: int, items: tuple[bytes, ...]) -> bool:
+    def append(self, epoch: int, first_index: int, items: tuple[bytes, ...]) -> bool:
         """Append records that follow what is here.
 
         Returns:
@@ -109,19 +109,19 @@
         Raises:
             InvalidRecordsError: not all of them are an owner's records.
         """
-        assert epoch == self._epoch and first_sequence == self._last_sequence + 1
+        assert epoch == self._epoch and first_index == self._last_index + 1
         parsed = parse_records(items)
         if not self._append(b"".join(items)):
             return False
         self._apply_all(parsed)
         return True
 
-    def replace(self, epoch: int, last_sequence: int, items: tuple[bytes, ...]) -> bool:
+    def replace(self, epoch: int, last_index: int, items: tuple[bytes, ...]) -> bool:
         """Replace all that is here by a full snapshot.
 
         Args:
             epoch: the snapshot's.
-            last_sequence: number of the last record that it covers.
+            last_index: number of the last record that it covers.
             items: its records.
 
         Returns:
@@ -133,17 +133,17 @@
         parsed = parse_records(items)
         previous_state = self._state
         previous_epoch = self._epoch
-        previous_sequence = self._last_sequence
+        previous_index = self._last_index
         self._state = replace(
             previous_state, messages={}, live_bytes=0, class_tables={}, disabled_endpoints=[]
         )
         self._apply_all(parsed)
         self._epoch = epoch
-        self._last_sequence = last_sequence
+        self._last_index = last_index
         if not self._compact(allow_growth=True):
             self._state = previous_state
             self._epoch = previous_epoch
-            self._last_sequence = previous_sequence
+            self._last_index = previous_index
             return False
         return True
 
@@ -159,20 +159,20 @@
         kind = fields["t"]
         if kind == "copy":
             self._epoch = int(fields["e"])
-            self._last_sequence = int(fields["n"]) - 1
+            self._last_index = int(fields["n"]) - 1
         elif kind == "promise":
             self._promised_epoch = max(self._promised_epoch, int(fields["e"]))
         else:
             super()._apply(fields, body, size_bytes)
-            if kind not in _OWN_KINDS:
-                self._last_sequence += 1
+            if kind not in _RESERVED_KINDS:
+                self._last_index += 1
 
     def _encode_trailer(self) -> bytes:
         trailer = b""
         if self._promised_epoch:
             trailer += _encode_promise(self._promised_epoch)
         if self._epoch:
-            trailer += encode_record({"t": "copy", "e": self._epoch, "n": self._last_sequence + 1})
+            trailer += encode_record({"t": "copy", "e": self._epoch, "n": self._last_index + 1})
         return trailer
 
     def _apply_all(self, parsed: list[tuple[dict[str, Any], Record]]) -> None:
@@ -213,7 +213,7 @@
     def replica_states(self) -> dict[str, ReplicaState]:
         """What is on disk of each owner's work, as a `ReplicaSet` begins with it."""
         return {
-            owner: ReplicaState(replica.promised_epoch, replica.epoch, replica.last_sequence)
+            owner: ReplicaState(replica.promised_epoch, replica.epoch, replica.last_index)
             for owner, replica in self._replicas.items()
         }
 
@@ -234,10 +234,10 @@
         if replica is None:
             return False
         match command:
-            case AppendRecords(_, epoch, first_sequence, items):
-                return replica.append(epoch, first_sequence, items)
-            case ReplaceRecords(_, epoch, last_sequence, items):
-                return replica.replace(epoch, last_sequence, items)
+            case AppendRecords(_, epoch, first_index, items):
+                return replica.append(epoch, first_index, items)
+            case ReplaceRecords(_, epoch, last_index, items):
+                return replica.replace(epoch, last_index, items)
             case PersistEpoch(_, epoch):
                 return replica.persist_epoch(epoch)
 
--- a/winchspan/replication/stream.py
+++ b/winchspan/replication/stream.py
@@ -130,14 +130,14 @@
         index = message.upto
         if cursor is None or message.epoch != self.epoch or index > self.last_index:
             return False
-        before = self.acknowledged_index
+        previous_index = self.acknowledged_index
         if index > cursor.acknowledged_index:
             cursor.acknowledged_index = index
             cursor.sent_index = max(cursor.sent_index, index)
             if cursor.chunks is not None and index >= cursor.snapshot_index:
                 cursor.chunks = None
             cursor.waiting_since_ms = None if index == self.last_index else self._appended_at(index + 1, now)
-        return self.acknowledged_index > before
+        return self.acknowledged_index > previous_index
 
     def handle_behind(self, now: float, node: str, message: ReplicaBehind) -> None:
         """Send a replica with a gap what it lacks, from there on."""
@@ -172,9 +172,9 @@
             now: the clock's reading in ms.
             open_records: returns the records of a snapshot of the open messages at this moment.
         """
-        found: list[OutgoingMessage] = []
+        outgoing: list[OutgoingMessage] = []
         if self.is_superseded:
-            return found
+            return outgoing
         for node, cursor in self._cursors.items():
             is_unacknowledged = cursor.acknowledged_index < cursor.sent_index and cursor.chunks is None
             if is_unacknowledged and now >= cursor.last_sent_at_ms + RETRANSMIT_AFTER_MS:
@@ -182,10 +182,10 @@
             if cursor.chunks is None and self._needs_snapshot(cursor):
                 self._start_snapshot(cursor, open_records())
             if cursor.chunks is not None:
-                found += self._chunk_to_send(now, node, cursor)
+                outgoing += self._chunk_to_send(now, node, cursor)
             elif cursor.sent_index < self.last_index:
-                found += self._records_to_send(now, node, cursor)
-        return found
+                outgoing += self._records_to_send(now, node, cursor)
+        return outgoing
 
     def _needs_snapshot(self, cursor: _ReplicaCursor) -> bool:
         """Whether the tail does not reach back to the next record of a replica."""
@@ -229,26 +229,26 @@
 
     def _records_to_send(self, now: float, node: str, cursor: _ReplicaCursor) -> list[OutgoingMessage]:
         """Return the records that a replica was not sent, in messages of bounded size and number."""
-        found: list[OutgoingMessage] = []
+        outgoing: list[OutgoingMessage] = []
         records: list[bytes] = []
         first_index = cursor.sent_index + 1
         frame_bytes = 0
         for index in range(first_index, self.last_index + 1):
             data = self._tail[index].data
             if records and frame_bytes + len(data) > FRAME_BYTES:
-                found.append(self._records_message(node, first_index, records))
+                outgoing.append(self._records_message(node, first_index, records))
                 first_index = index
                 records = []
                 frame_bytes = 0
-                if len(found) == MAX_FRAMES_PER_REPLICA:
+                if len(outgoing) == MAX_FRAMES_PER_REPLICA:
                     break
             records.append(data)
             frame_bytes += len(data)
         if records:
-            found.append(self._records_message(node, first_index, records))
+            outgoing.append(self._records_message(node, first_index, records))
         cursor.sent_index = first_index + len(records) - 1
         cursor.last_sent_at_ms = now
-        return found
+        return outgoing
 
     def _records_message(self, node: str, first_index: int, records: list[bytes]) -> OutgoingMessage:
         return OutgoingMessage(node, ReplicateRecords(self.owner, self.epoch, first_index, tuple(records)))
--- a/winchspan/scheduling/endpoint_health.py
+++ b/winchspan/scheduling/endpoint_health.py
@@ -67,7 +67,7 @@
 
     def overdue_after_ns(self, endpoint: Endpoint, message_class: MessageClass) -> int:
         """How long a call may take before it counts against the endpoint."""
-        usual = self.latency_by_kind.get(endpoint.kind, (message_class.aim_ns / 2, 0.0))
+        usual = self.latency_by_kind.get(endpoint.kind, (message_class.latency_objective_ns / 2, 0.0))
         mean, deviation = (endpoint.latency_ns, endpoint.deviation_ns) if endpoint.latency_ns else usual
         return int(mean + LATE_DEVIATIONS * deviation) + 2 * self.settings.step_ns
 
@@ -248,7 +248,9 @@
         """Shorten the idle time of connections to a kind: many senders' may have filled its table."""
         if self.settings.senders > self.settings.slots:  # else calls fill a table
             kind, latency_ns = call.endpoint.kind, int(call.endpoint.latency_ns)
-            idle_ns = min(self.max_idle_ns(kind, now) // 2, latency_ns or call.message_class.aim_ns // 2)
+            idle_ns = min(
+                self.max_idle_ns(kind, now) // 2, latency_ns or call.message_class.latency_objective_ns // 2
+            )
             self.max_idle_by_kind[kind] = idle_ns, now
 
 
--- a/winchspan/scheduling/scheduler.py
+++ b/winchspan/scheduling/scheduler.py
@@ -132,7 +132,7 @@
         return self.destinations[number]
 
     def _update_endpoints(self, event: api.EndpointsUpdated) -> None:
-        if event.scope in (api.UpdateScope.WHOLE, api.UpdateScope.STALE):
+        if event.scope in (api.UpdateScope.SNAPSHOT, api.UpdateScope.STALE):
             for endpoint in self.endpoints.values():
                 endpoint.is_usable, endpoint.unlisted_ns = False, endpoint.unlisted_ns or self.now
         for row in event.rows:
@@ -161,24 +161,26 @@
         endpoint = self.endpoints.get(row.endpoint)
         if endpoint is None:
             limit = destination.limit
-            if kind.apart:
+            if kind.has_separate_routes:
                 limit = RateLimit(f"route {row.endpoint} of destination {row.destination}")
                 self.health.slow_starts.observe(limit, self.now)
-            fee = self.settings.zone_fees.get(row.zone, 0.0) if kind.apart else 0.0
-            batch = kind.per_call
+            fee = self.settings.zone_fees.get(row.zone, 0.0) if kind.has_separate_routes else 0.0
+            batch = kind.messages_per_call
             endpoint = Endpoint(row.endpoint, row.zone, limit, batch, batch, fee, row.kind, self.now)
             self.endpoints[row.endpoint] = destination.endpoints[row.endpoint] = endpoint
-        endpoint.is_usable = row.listing is EndpointStatus.IN_SERVICE
-        is_gone = row.listing is EndpointStatus.GONE
+        endpoint.is_usable = row.status is EndpointStatus.IN_SERVICE
+        is_gone = row.status is EndpointStatus.GONE
         if endpoint.is_usable and endpoint.unlisted_ns is not None:
             endpoint.listed_ns = self.now  # it may have been started anew
         endpoint.unlisted_ns = (endpoint.unlisted_ns or self.now) if is_gone else None
-        if row.cold:  # put back by hand: nobody knows since when it runs
+        if row.needs_slow_start:  # put back by hand: nobody knows since when it runs
             endpoint.slow_start_ns = self.now
             self.health.pace(destination, endpoint, self.now)
         if self.settings.listed_rate is not api.ListedRate.NONE:
             endpoint.limit.stated_per_s = row.rating
-            self.overload_control.rate_listed(self.now, destination.id, 0.0 if kind.apart else row.rating)
+            self.overload_control.rate_listed(
+                self.now, destination.id, 0.0 if kind.has_separate_routes else row.rating
+            )
 
     def _recall(self, endpoints: Iterable[Endpoint]) -> None:
         if self.settings.can_recall:
@@ -198,12 +200,13 @@
         heappush(self.due, (when_ns, next(self.numbers), what))
 
     def _accept(self, event: api.MessageArrived, attempts: int = 0) -> Message:
-        cls = self.settings.classes.get(event.cls, MessageClass(event.cls))  # unknown: the safest kind
+        # An unknown class gets the defaults, which are the safest.
+        cls = self.settings.classes.get(event.class_name, MessageClass(event.class_name))
         destination = self._destination(event.destination)
-        deadline_ns = self.now + event.left_ns
+        deadline_ns = self.now + event.remaining_ns
         key, accepted_ns = event.key if cls.ordered else None, deadline_ns - cls.deadline_ns
         message = Message(event.message, cls, destination, key, accepted_ns, deadline_ns, attempts)
-        message.is_lowest = event.lowest
+        message.is_lowest_priority = event.is_lowest_priority
         self.held[message.id] = message
         self.overload_control.message_arrived(self.now, event, cls, attempts)
         self._enqueue(message)
@@ -214,16 +217,19 @@
 
     def _recover(self, event: api.MessageRecovered) -> None:
         message = self._accept(event.arrived, event.attempts)
-        if event.ran_ago_ns is not None:
-            message.maybe_ran_ns, message.maybe_ran_zone = self.now - event.ran_ago_ns, event.ran_zone
+        if event.executed_ago_ns is not None:
+            message.maybe_ran_ns, message.maybe_ran_zone = (
+                self.now - event.executed_ago_ns,
+                event.executed_zone,
+            )
             self._call_at(message.last_send_ns(self.settings), message)
-        if event.rests and message.key is not None:
+        if event.was_in_flight and message.key is not None:
             self.key_rests_ns[message.key] = self.now + self.settings.key_rest_ns
-        if event.over:
+        if event.is_completed:
             self._close(message, has_notification=True)
 
     def _close(self, message: Message, *, has_notification: bool = False) -> None:
-        if has_notification and self.settings.ends_are_heard and message.key is not None:
+        if has_notification and self.settings.notifications_are_acknowledged and message.key is not None:
             self.unacknowledged[message.id] = message
         message.is_completed = True
         self.held.pop(message.id, None)
@@ -246,11 +252,15 @@
     def _give_up(self, message: Message) -> None:
         cls, ran_ns, now = message.message_class, message.maybe_ran_ns, self.now
         is_dropped = cls.effect is Effect.KEYED and not cls.dedup_per_zone  # a repeat, within its window
-        left_ns = message.last_send_ns(self.settings) - now if ran_ns is not None and is_dropped else None
+        remaining_ns = (
+            message.last_send_ns(self.settings) - now if ran_ns is not None and is_dropped else None
+        )
         rejection = None
         if is_dropped or cls.effect is Effect.REPEATABLE or (ran_ns is None and not message.in_flight):
             default_ns, destination = self.settings.max_retry_after_ns, message.destination.id
-            rejection = self.overload_control.reject_held(now, destination, message.id, default_ns, left_ns)
+            rejection = self.overload_control.reject_held(
+                now, destination, message.id, default_ns, remaining_ns
+            )
         reject = rejection and api.RejectMessage(message.id, rejection.retry_after_ns, rejection.reason)
         self.commands.append(reject or api.FailMessage(message.id))
         self._close(message, has_notification=True)
@@ -272,7 +282,7 @@
         if outcome not in NEVER_RAN and outcome is not Outcome.DELIVERED and message.maybe_ran_ns is None:
             message.maybe_ran_ns, message.maybe_ran_zone = call.sent_ns, call.endpoint.zone
             self._call_at(message.last_send_ns(self.settings), message)
-        if event.final or message.is_completed:
+        if event.is_final or message.is_completed:
             if not message.is_completed:
                 self._close(message)
             self._release_key(message)
@@ -289,8 +299,8 @@
         limit, now = call.endpoint.limit, self.now
         if event.limit_rate:
             limit.stated_per_s = event.limit_rate
-            if event.limit_left is not None:  # less than a call is left of the allowance: let it fill up
-                lack = 1 - event.limit_left * event.limit_rate
+            if event.limit_remaining is not None:  # less than a call is left of the allowance: let it fill up
+                lack = 1 - event.limit_remaining * event.limit_rate
                 limit.next_call_ns = max(limit.next_call_ns, now + int(lack / event.limit_rate * SECOND))
         if event.wait_ns:  # a delivered call may tell one too
             limit.retry_after_ns = max(limit.retry_after_ns, now + event.wait_ns)
@@ -375,13 +385,13 @@
 
     def _rank(self, message: Message) -> tuple[bool, float, int]:
         cls, delivered_ns = message.message_class, self.now + int(message.destination.latency_ns)
-        late_ns, worth = delivered_ns - message.accepted_ns - cls.aim_ns, cls.worth
-        if late_ns > 0 and self.settings.worth_halves:
-            worth *= max(cls.late_worth, float(0.5 ** (late_ns / cls.aim_ns)))
+        late_ns, worth = delivered_ns - message.accepted_ns - cls.latency_objective_ns, cls.worth
+        if late_ns > 0 and self.settings.halves_late_worth:
+            worth *= max(cls.late_worth, float(0.5 ** (late_ns / cls.latency_objective_ns)))
         elif late_ns > 0:
-            span_ns = max(1, cls.deadline_ns - cls.aim_ns)
+            span_ns = max(1, cls.deadline_ns - cls.latency_objective_ns)
             worth *= 1 - (1 - cls.late_worth) * min(1.0, late_ns / span_ns)
-        return message.is_lowest, -worth, message.accepted_ns + cls.aim_ns
+        return message.is_lowest_priority, -worth, message.accepted_ns + cls.latency_objective_ns
 
     def _preference(self, endpoint: Endpoint) -> tuple[bool, bool, float, int]:
         is_idle = any(self.now - at_ns < self.settings.keepalive_ns for at_ns in endpoint.idle_since_ns)
@@ -463,9 +473,9 @@
         for message in messages:
             until_ns = message.abandon_ns(self.health.overdue_after_ns(endpoint, message.message_class), now)
             is_keyed, has_run = message.message_class.effect is Effect.KEYED, message.maybe_ran_ns is not None
-            begin_by_ns = message.last_send_ns(self.settings) if is_keyed and has_run else 0
+            send_before_ns = message.last_send_ns(self.settings) if is_keyed and has_run else 0
             pacing = self.health.pacing(endpoint)
-            self.commands.append(api.StartAttempt(message.id, endpoint.id, until_ns, begin_by_ns, pacing))
+            self.commands.append(api.StartAttempt(message.id, endpoint.id, until_ns, send_before_ns, pacing))
         limit = endpoint.limit
         if limit.slow_start.is_paced:
             self.health.slow_starts.record_call(limit, len(messages), now)
--- a/winchspan/scheduling/slow_start.py
+++ b/winchspan/scheduling/slow_start.py
@@ -249,7 +249,7 @@
     def restore(self, capacity: Capacity, recovered: SlowStartRecovered, now: int) -> None:
         """Go on where the previous incarnation was: a restart must not forget what it was told."""
         state, settings = capacity.slow_start, self.settings
-        if recovered.phase is SlowStartPhase.HEALTHY or recovered.ago_ns >= settings.cold_ns:
+        if recovered.phase is SlowStartPhase.HEALTHY or recovered.elapsed_ns >= settings.cold_ns:
             return
         state.demand.delivered.set_rate(recovered.calls_per_s / SECOND, settings.cold_ns, now)
         if recovered.phase is SlowStartPhase.OUTAGE:
@@ -257,10 +257,10 @@
             state.had_served = recovered.calls_per_s > 0
             state.kind = FailureKind.SILENT
             state.failure_count = OUTAGE_SILENCES
-            state.failing_since_ns = now - recovered.ago_ns
+            state.failing_since_ns = now - recovered.elapsed_ns
             state.failing_until_ns = now  # nothing is known of the time since it was recorded
         else:
-            returned_ns = now - recovered.ago_ns
+            returned_ns = now - recovered.elapsed_ns
             self._set_ramp(state, returned_ns, returned_ns)
         begin_ns = max(now, state.ramp_ns or now)
         self._pace(capacity, begin_ns, self._rng.random())  # a restart comes anywhere in the gap
@@ -289,7 +289,7 @@
         settings, demand = self.settings, capacity.slow_start.demand
         least_ns = settings.tip_after_ns
         even = capacity.stated_per_s / (settings.senders * SECOND)
-        if settings.listed_rate is ListedRate.ROUGH:
+        if settings.listed_rate is ListedRate.APPROXIMATE:
             even /= ROUGH_RATE_EXCESS
         if demand.delivered.count >= 1:
             own = demand.delivered.per_ns(least_ns)
--- a/winchspan/scheduling/state.py
+++ b/winchspan/scheduling/state.py
@@ -31,7 +31,7 @@
     maybe_ran_zone: str = ""
     last_endpoint: Endpoint | None = None
     unanswered_ns: int = NEVER  # sending of its last attempt, if nothing came back for it
-    is_lowest: bool = False  # after all others
+    is_lowest_priority: bool = False  # after all others
 
     def was_lost_in_transit(self) -> bool:
         """Whether its last attempt was lost: its endpoint has delivered a call sent later."""
@@ -63,9 +63,9 @@
         cls = self.message_class
         if cls.effect is Effect.ONCE:
             return self.deadline_ns
-        patience_ns = max(cls.aim_ns, PATIENCE * overdue_after_ns)
+        patience_ns = max(cls.latency_objective_ns, PATIENCE * overdue_after_ns)
         if cls.effect is Effect.KEYED:
-            patience_ns = min(patience_ns, max(cls.dedup_ns // 2, cls.aim_ns))
+            patience_ns = min(patience_ns, max(cls.dedup_ns // 2, cls.latency_objective_ns))
         return min(self.deadline_ns, now + patience_ns)
 
     def last_send_ns(self, settings: Settings) -> int:
@@ -162,4 +162,4 @@
 
     def l_max(self, message_class: MessageClass) -> int:
         """Return the pessimistic cost of a class, its latency objective until a call of it is back."""
-        return self.costs_ns.setdefault(message_class.name, message_class.aim_ns)
+        return self.costs_ns.setdefault(message_class.name, message_class.latency_objective_ns)
--- a/winchspan/simulation/emulated_courier.py
+++ b/winchspan/simulation/emulated_courier.py
@@ -201,7 +201,7 @@
         names = (
             endpoint.name
             for endpoint in endpoints
-            if endpoint.dest == partner and endpoint.status is not EndpointStatus.GONE
+            if endpoint.destination == partner and endpoint.status is not EndpointStatus.GONE
         )
         return next(names, "")
 
--- a/winchspan/simulation/emulated_upgrade.py
+++ b/winchspan/simulation/emulated_upgrade.py
@@ -106,7 +106,7 @@
             transfer = self._source.freeze_and_export()
         except HandOverError as err:
             logger.warning("upgrade: {}", err)
-            self._execute(self._state_machine.on_taker_lost())
+            self._execute(self._state_machine.on_new_process_lost())
             return
         self._loop.call_later(TRANSFER_SECONDS, self._on_transferred, transfer)
 
--- a/winchspan/upgrade/connection_converter.py
+++ b/winchspan/upgrade/connection_converter.py
@@ -11,13 +11,13 @@
 from winchspan.net.http import ResponseParser
 from winchspan.net.http_call import HttpCallState, HttpPeer
 from winchspan.upgrade.records import (
-    AnswerParserRecord,
     CallContentRecord,
     CallRecord,
     ClientRecord,
     IdleConnectionRecord,
     OutgoingMessageRecord,
     PeerRecord,
+    ResponseParserRecord,
 )
 from winchspan.upgrade.transferred_state import IdleConnection
 
@@ -93,11 +93,13 @@
 
 
 def _peer_to_record(peer: HttpPeer) -> PeerRecord:
-    return PeerRecord(host=peer.address.host, port=peer.address.port, endpoint_number=peer.number)
+    return PeerRecord(host=peer.address.host, port=peer.address.port, endpoint_number=peer.endpoint_number)
 
 
 def _peer_from_record(record: PeerRecord) -> HttpPeer:
-    return HttpPeer(address=Address(host=record.host, port=record.port), number=record.endpoint_number)
+    return HttpPeer(
+        address=Address(host=record.host, port=record.port), endpoint_number=record.endpoint_number
+    )
 
 
 def _content_to_record(content: CallContent) -> CallContentRecord:
@@ -119,13 +121,13 @@
     return CallContent(messages=messages, sent_messages=[messages[index] for index in record.sent])
 
 
-def _parser_to_record(parser: ResponseParser) -> AnswerParserRecord:
+def _parser_to_record(parser: ResponseParser) -> ResponseParserRecord:
     state = parser.__getstate__()
     fields = {field: state[attribute] for field, attribute in _PARSER_ATTRIBUTES.items()}
-    return AnswerParserRecord(**fields, body=bytes(state[_PARSER_BODY]))
+    return ResponseParserRecord(**fields, body=bytes(state[_PARSER_BODY]))
 
 
-def _parser_from_record(record: AnswerParserRecord) -> ResponseParser:
+def _parser_from_record(record: ResponseParserRecord) -> ResponseParser:
     state: dict[str, Any] = {
         attribute: getattr(record, field) for field, attribute in _PARSER_ATTRIBUTES.items()
     }
--- a/winchspan/upgrade/hand_over_server.py
+++ b/winchspan/upgrade/hand_over_server.py
@@ -154,10 +154,10 @@
             await self._hand_over(taker, peer, same_program=fingerprint == self._fingerprint)
         except (OSError, TimeoutError, HandOverError) as err:
             logger.warning("upgrade: not handed over to {}: {!r}", peer, err)
-            self._carry_out(self._machine.on_taker_lost())
+            self._carry_out(self._machine.on_new_process_lost())
         except Exception:  # guards against a fault of ours that would leave the courier frozen
             logger.exception("upgrade: not handed over to {}", peer)
-            self._carry_out(self._machine.on_taker_lost())
+            self._carry_out(self._machine.on_new_process_lost())
         finally:
             taker.close()
             self._task = None
--- a/winchspan/upgrade/legacy_overload.py
+++ b/winchspan/upgrade/legacy_overload.py
@@ -9,7 +9,7 @@
 from winchspan.overload.reservations import KeyBlock
 
 # Present names of the classes that stood in `winchspan.storms`, by module and name.
-CLASSES_BEFORE: Final = {
+RENAMED_CLASSES: Final = {
     ("winchspan.storms.book", "Appointment"): ("winchspan.overload.reservations", "Reservation"),
     ("winchspan.storms.book", "Book"): ("winchspan.overload.reservations", "ReservationTable"),
     ("winchspan.storms.book", "Loose"): ("winchspan.overload.reservations", "AnonymousReservations"),
@@ -28,7 +28,7 @@
 }
 # Attributes that had other names: by the class's present module and name, old to new. Of frozen dataclasses
 # the pickle holds the values alone, in the order of the fields.
-ATTRIBUTES_BEFORE: Final[dict[tuple[str, str], dict[str, str]]] = {
+RENAMED_ATTRIBUTES: Final[dict[tuple[str, str], dict[str, str]]] = {
     ("winchspan.overload.adaptive_rate", "AdaptiveRate"): {
         "_senders": "_sender_count",
         "_me": "_sender_index",
--- a/winchspan/upgrade/legacy_pickle.py
+++ b/winchspan/upgrade/legacy_pickle.py
@@ -27,7 +27,7 @@
 _Converter: TypeAlias = Callable[[Mapping[str, Any]], Mapping[str, Any]]
 
 # Where the modules of a state stood in the versions up to commit 5bc3544.
-_MODULES_BEFORE: Final = {
+_MOVED_MODULES: Final = {
     "winchspan.choice": "winchspan.scheduling.state",
     "winchspan.config": "winchspan.config.platform",
     "winchspan.courier": "winchspan.delivery.engine",
@@ -40,10 +40,10 @@
     "winchspan.slots": "winchspan.runtime.slot_table",
 }
 # Classes of a state that had other names up to commit 5bc3544.
-_CLASSES_BEFORE: Final = {
+_RENAMED_CLASSES: Final = {
     ("winchspan.interface", "PeerNote"): ("winchspan.api.events", "PeerNote"),
     ("winchspan.interface", "TimerFired"): ("winchspan.api.events", "TimerFired"),
-    **legacy_scheduling.CLASSES_BEFORE,
+    **legacy_scheduling.RENAMED_CLASSES,
     ("winchspan.courier", "Execution"): ("winchspan.delivery.messages", "DeliveryAttempt"),
     ("winchspan.courier", "Parcel"): ("winchspan.delivery.messages", "OutgoingMessage"),
     ("winchspan.courier", "Query"): ("winchspan.delivery.messages", "AcceptedMessage"),
@@ -66,10 +66,10 @@
     ("winchspan.net.server_link", "Peer"): ("winchspan.net.http_call", "HttpPeer"),
     ("winchspan.sketch", "CountMin"): ("winchspan.runtime.sketches", "CountMinSketch"),
     ("winchspan.sketch", "RecentKeys"): ("winchspan.runtime.sketches", "RecentKeyFilter"),
-    **legacy_overload.CLASSES_BEFORE,
+    **legacy_overload.RENAMED_CLASSES,
 }
 # Attributes that had other names up to commit 5bc3544: by the class's present module and name, old to new.
-_ATTRIBUTES_BEFORE: dict[tuple[str, str], dict[str, str]] = {
+_RENAMED_ATTRIBUTES: dict[tuple[str, str], dict[str, str]] = {
     ("winchspan.delivery.messages", "AcceptedMessage"): {
         "number": "journal_number",
         "dest": "destination",
@@ -87,11 +87,11 @@
         "over": "is_withdrawn",
         "cancelled": "cancelled_handles",
     },
-    **legacy_scheduling.ATTRIBUTES_BEFORE,
-    **legacy_overload.ATTRIBUTES_BEFORE,
+    **legacy_scheduling.RENAMED_ATTRIBUTES,
+    **legacy_overload.RENAMED_ATTRIBUTES,
 }
 # Classes whose attributes were divided otherwise up to commit 5bc3544, with what converts them.
-_CONVERTERS_BEFORE: Final[dict[tuple[str, str], _Converter]] = {
+_ATTRIBUTE_CONVERTERS: Final[dict[tuple[str, str], _Converter]] = {
     ("winchspan.overload.governor", "OverloadGovernor"): legacy_overload.governor_attributes,
 }
 
@@ -151,17 +151,17 @@
         """Return the call of a number, not yet on its connection."""
         if not isinstance(pid, int):
             raise StateFormatError("call", f"number {pid!r:.40}", "an integer")
-        return self.calls.setdefault(pid, HttpCall.adopted())
+        return self.calls.setdefault(pid, HttpCall.without_connection())
 
     def find_class(self, module: str, name: str) -> Any:  # noqa: ANN401  as the base class has it
         """Return the present class of an old name."""
-        module_now, name_now = _CLASSES_BEFORE.get(
-            (module, name), (_MODULES_BEFORE.get(module, module), name)
+        module_now, name_now = _RENAMED_CLASSES.get(
+            (module, name), (_MOVED_MODULES.get(module, module), name)
         )
         found = super().find_class(module_now, name_now)
-        if (convert := _CONVERTERS_BEFORE.get((module_now, name_now))) is not None:
+        if (convert := _ATTRIBUTE_CONVERTERS.get((module_now, name_now))) is not None:
             return _with_converter(found, convert)
-        attributes = _ATTRIBUTES_BEFORE.get((module_now, name_now))
+        attributes = _RENAMED_ATTRIBUTES.get((module_now, name_now))
         return found if attributes is None else _with_old_attributes(found, attributes)
 
 
--- a/winchspan/upgrade/legacy_scheduling.py
+++ b/winchspan/upgrade/legacy_scheduling.py
@@ -10,13 +10,13 @@
 from winchspan.scheduling.slow_start import SlowStart
 from winchspan.scheduling.state import Destination, Endpoint, RateLimit
 
-CLASSES_BEFORE: Final = {
+RENAMED_CLASSES: Final = {
     ("winchspan.choice", "Limit"): ("winchspan.scheduling.state", "RateLimit"),
     ("winchspan.choice", "Sender"): ("winchspan.scheduling.scheduler", "Scheduler"),
 }
 """Old module and class name to the present ones, where the class was renamed."""
 
-ATTRIBUTES_BEFORE: Final = {
+RENAMED_ATTRIBUTES: Final = {
     ("winchspan.scheduling.scheduler", "Scheduler"): {
         "gov": "overload_control",
         "s": "settings",
@@ -51,7 +51,7 @@
         "ran_zone": "maybe_ran_zone",
         "last": "last_endpoint",
         "silent_at": "unanswered_ns",
-        "lowest": "is_lowest",
+        "lowest": "is_lowest_priority",
     },
     ("winchspan.scheduling.state", "Call"): {
         "dest": "destination",
--- a/winchspan/upgrade/records.py
+++ b/winchspan/upgrade/records.py
@@ -120,7 +120,7 @@
     idle_ms_left: float
 
 
-class AnswerParserRecord(Struct, frozen=True, forbid_unknown_fields=True):
+class ResponseParserRecord(Struct, frozen=True, forbid_unknown_fields=True):
     """An HTTP answer as far as it was read.
 
     Attributes:
@@ -177,7 +177,7 @@
     peer: PeerRecord
     deadline_ms: float
     content: CallContentRecord | None
-    parser: AnswerParserRecord
+    parser: ResponseParserRecord
     unread: bytes
     answer_deadline_ms: float | None
     closes_connection: bool
--- a/winchspan/upgrade/state_codec.py
+++ b/winchspan/upgrade/state_codec.py
@@ -77,7 +77,7 @@
 
 def _state_from_record(record: StateRecord) -> TransferredState:
     courier = record.courier
-    calls = {index: HttpCall.adopted() for index in range(len(courier.calls))}
+    calls = {index: HttpCall.without_connection() for index in range(len(courier.calls))}
     return TransferredState(
         is_out_of_service=record.is_out_of_service,
         clients=[client_from_record(client) for client in record.clients],
--- a/winchspan/upgrade/state_machine.py
+++ b/winchspan/upgrade/state_machine.py
@@ -79,7 +79,7 @@
             return self._roll_back()
         return []
 
-    def on_taker_lost(self) -> list[HandOverAction]:
+    def on_new_process_lost(self) -> list[HandOverAction]:
         """Handle a new process that is gone or broke the protocol."""
         if self.state in (HandOverState.DRAINING, HandOverState.TRANSFERRING):
             return self._roll_back()
