--- a/benchmarks/undelivered.py
+++ b/benchmarks/undelivered.py
@@ -156,7 +156,7 @@
     return CourierRemains(
         dead_letters,
         {one.id for one in dead_letters} | {entry.id for entry in entries},
-        sum(entry.owed_notification is None for entry in entries),
+        sum(entry.pending_notification is None for entry in entries),
     )
 
 
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -114,12 +114,12 @@
     fourth = found.accept("a4", "order-payment", 1 << 100, 7, NOW + 24_001.0, "token-4", b"four")
     fifth = found.accept("a5", "order-payment", 5, 7, NOW + 24_002.0, "token-5", b"five")
     assert found.record_attempt_started([first, second], "s-1", "zone-a", NOW + 1.0)
-    found.record_attempt_returned([first], may_have_executed=True)
-    found.record_attempt_returned([second], may_have_executed=False)
+    found.record_attempt_ended([first], may_have_executed=True)
+    found.record_attempt_ended([second], may_have_executed=False)
     assert found.record_attempt_started([first, fourth], "s-2", "zone-b", NOW + 2.25)
     found.record_classes([message_class_to_json(NOTICE)])
-    found.record_notification_owed(second, "returned", 1_500)
-    found.record_notification_owed(third, "failed", 0, STORY)
+    found.record_notification_pending(second, "returned", 1_500)
+    found.record_notification_pending(third, "failed", 0, STORY)
     found.record_completed([fifth])
     entry = JournalEntry(
         99,
@@ -248,7 +248,7 @@
         found.accept("c2", "order-payment", 3, 7, NOW + 24_000.0, "token-d", b"also")
         found.record_disabled_endpoints(["s-4"])
         assert found.record_attempt_started([first], "s-1", "zone-a", NOW + 1.0)
-        found.record_attempt_returned([first], may_have_executed=True)
+        found.record_attempt_ended([first], may_have_executed=True)
         found.close()
     pieces = []
     for data in said:
--- a/tests/dead_letter_helpers.py
+++ b/tests/dead_letter_helpers.py
@@ -1,4 +1,4 @@
-"""Dead letters for tests: builders of records, and couriers that archive and redeliver step by step."""
+"""Helpers for dead-letter tests: record builders, and couriers that archive and redeliver step by step."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
     ended_unix_ms: float = NOW_MS,
     **changes: object,
 ) -> DeadLetter:
-    """Return a dead letter with all fields set; `changes` are further fields."""
+    """Return a dead letter with all fields set; `changes` override further fields."""
     attempts = (AttemptHistory("s-1", ended_unix_ms - 500.0, "full", 20.0, 700.0),)
     destination = DestinationSnapshot(6, 2, 9, 1, 2)
     dead_letter = DeadLetter(
@@ -74,7 +74,7 @@
         "failed",
         FailureHistory("out of time", ended_unix_ms, attempts, 1, destination),
         evidence,
-        "as told",
+        "as reported",
         first_run_unix_ms,
         DeadLetterState.PENDING,
     )
@@ -87,7 +87,7 @@
 
 
 def make_audited_store(directory: Path, action_count: int) -> Path:
-    """Make a store with a bound of ten operators' actions, and so many of them."""
+    """Create a store whose audit log is bounded to ten entries, and log `action_count` actions."""
     path = directory / STORE_FILE_NAME
     store = DeadLetterStore(path, StoreBounds(audit_entry_count=10))
     store.add([make_dead_letter(1)], 0.0)
@@ -99,25 +99,25 @@
 
 
 def run_command(directory: Path, *words: str, code: int = 0) -> str:
-    """Run a command on the store of a directory, and return its output."""
+    """Run a command on the store in a directory, and return its output."""
     result = CliRunner().invoke(cli, ["undelivered", "--store", str(directory), *words])
     assert result.exit_code == code, result.output
     return result.output
 
 
 class ManualLoop:
-    """What the store's thread hands to the loop, called when a test says so."""
+    """Collects the calls that the store's thread schedules; a test runs them explicitly."""
 
     def __init__(self) -> None:
         self.calls: SimpleQueue[Callable[[], None]] = SimpleQueue()
 
     def run_calls(self, count: int) -> None:
-        """Wait for so many calls, and call them."""
+        """Wait for `count` calls, and run each."""
         for _ in range(count):
             self.calls.get(timeout=TIMEOUT_SECONDS)()
 
     def discard_calls(self) -> None:
-        """Drop what was handed over."""
+        """Discard the scheduled calls."""
         try:
             while True:
                 self.calls.get_nowait()
@@ -126,14 +126,14 @@
 
 
 class StalledArchiver(DeadLetterArchiver):
-    """Its thread never runs a job: the store is slower than the crash."""
+    """An archiver whose thread runs no job, for a crash before the store commits."""
 
     def _run_thread(self) -> None:
         return
 
 
 class ArchivingCourier:
-    """A courier that archives what it could not deliver, one incarnation after the other."""
+    """A courier that archives undelivered messages, across restarts."""
 
     def __init__(
         self, directory: Path, archiver_type: type[DeadLetterArchiver] = DeadLetterArchiver, **changes: object
@@ -143,7 +143,7 @@
         self.archivers: list[DeadLetterArchiver] = []
         self.path = directory / STORE_FILE_NAME
         self.settings = ArchiverSettings(self.path, BOUNDS)
-        self.world = World(directory, keeps=self._create_archiver, **changes)  # type: ignore[arg-type]
+        self.world = World(directory, create_dead_letters=self._create_archiver, **changes)  # type: ignore[arg-type]
 
     def _create_archiver(self, world: World) -> DeadLetterArchiver:
         call_soon = self.loop.calls.put
@@ -151,17 +151,17 @@
         return self.archivers[-1]
 
     def fail_message(self, name: str = "a", class_name: str = "safe") -> None:
-        """Submit a message that nobody answers until its time is up."""
-        self.world.put(name, class_name, left=3_000.0)
-        self.world.out.sent[-1].end(AttemptResult(Outcome.ERROR))
+        """Submit a message whose attempt fails, and let its deadline pass."""
+        self.world.submit(name, class_name, left=3_000.0)
+        self.world.transport.calls[-1].end(AttemptResult(Outcome.ERROR))
         self.world.run(3_100)
 
     def acknowledge_notification(self, name: str = "a") -> None:
-        """Let the platform acknowledge the notification of a message's end."""
-        self.world.out.notices[name][2]()
+        """Acknowledge the notification of a message."""
+        self.world.transport.notifications[name][2]()
 
     def stored(self) -> list[DeadLetter]:
-        """Return what the store has, the oldest first."""
+        """Return the stored messages, oldest first."""
         if not self.path.exists():
             return []
         store = DeadLetterStore(self.path, BOUNDS, read_only=True)
@@ -171,7 +171,7 @@
             store.close()
 
     def restart(self, archiver_type: type[DeadLetterArchiver] = DeadLetterArchiver) -> None:
-        """Kill the process and start it again; what its thread had handed over is lost."""
+        """Kill the process and start it again; the calls that its thread scheduled are lost."""
         self.archivers[-1].close()
         self.loop.discard_calls()
         self.archiver_type = archiver_type
@@ -179,53 +179,53 @@
 
 
 class RedeliveringCourier(ArchivingCourier):
-    """An archiving courier that redelivers, one round at a time."""
+    """An archiving courier that redelivers in explicit rounds."""
 
     def redelivery_worker(self) -> RedeliveryWorker:
-        """Return a worker whose next round begins only when a test says so."""
+        """Return a worker that starts a round only when a test calls it."""
         world = self.world
-        never = TimerQueue(ManualClock())
+        idle_timers = TimerQueue(ManualClock())
         return RedeliveryWorker(
-            RedeliveryPorts(world.clock, never, self.archivers[-1], world.courier),
+            RedeliveryPorts(world.clock, idle_timers, self.archivers[-1], world.engine),
             RedeliveryPolicy([UNLIMITED_RULE], world.settings.classes),
         )
 
     def archive_message(self, name: str = "a", class_name: str = "safe") -> None:
-        """Let a message end undelivered, and archive it."""
+        """Let a message fail, and archive it."""
         self.fail_message(name, class_name)
         self.acknowledge_notification(name)
         self.loop.run_calls(2)
-        sent = self.world.out.sent[-1]
+        sent = self.world.transport.calls[-1]
         sent.end(AttemptResult(Outcome.CANCELLED if sent.cancelled else Outcome.TIMEOUT))
         self._recover_partner(name)
 
     def _recover_partner(self, name: str) -> None:
-        """Let the partner answer again: some live messages are delivered, and its slow start is over."""
+        """Let the partner recover: deliver some live messages, until its slow start has ended."""
         for number in range(3):
-            call_count = len(self.world.out.sent)
-            self.world.courier.accept(
+            call_count = len(self.world.transport.calls)
+            self.world.engine.accept(
                 SubmittedMessage(f"{name}-{number}", "safe", None, 1, 20_000.0, "f00d", b"")
             )
             for _ in range(200):
                 self.world.run(100)
-                if len(self.world.out.sent) > call_count:
+                if len(self.world.transport.calls) > call_count:
                     break
-            self.world.out.sent[-1].end(OK)
+            self.world.transport.calls[-1].end(OK)
             self.world.run()
         self.world.run(11_000)
 
     def run_redelivery_round(self) -> None:
-        """Run one round: what is due is marked and given to the engine."""
+        """Run one round, which marks the due messages and passes them to the engine."""
         self.redelivery_worker().start()
         self.loop.run_calls(2)
         self.world.run()
 
     def deliver_latest(self) -> None:
-        """Let the latest attempt succeed, and settle it."""
-        self.world.out.sent[-1].end(OK)
+        """Let the latest attempt succeed, and settle the redelivery."""
+        self.world.transport.calls[-1].end(OK)
         self.world.run()
         self.loop.run_calls(2)
 
     def states(self) -> list[DeadLetterState]:
-        """Return the states of what the store has, the oldest first."""
+        """Return the states of the stored messages, oldest first."""
         return [dead_letter.state for dead_letter in self.stored()]
--- a/tests/delivery_world.py
+++ b/tests/delivery_world.py
@@ -22,50 +22,52 @@
 
 
 @dataclass
-class Sent:
+class StartedCall:
     """A call that the engine has started."""
 
     endpoint: int
-    parcels: list[OutgoingMessage]
-    until: float
-    begin_by: float | None
-    done: Callable[[list[AttemptResult]], None]
-    wanted: Callable[[str], bool]
+    messages: list[OutgoingMessage]
+    deadline_ms: float
+    start_by_ms: float | None
+    on_results: Callable[[list[AttemptResult]], None]
+    is_wanted: Callable[[str], bool]
     cancelled: bool = False
-    lessened: int = 0
+    drop_count: int = 0
 
     def cancel(self) -> None:
         self.cancelled = True
 
-    def lessen(self) -> None:
-        self.lessened += 1
+    def drop_unwanted_messages(self) -> None:
+        self.drop_count += 1
 
-    def end(self, *verdicts: AttemptResult) -> None:
-        self.done([*verdicts] if len(verdicts) == len(self.parcels) else [*verdicts] * len(self.parcels))
+    def end(self, *results: AttemptResult) -> None:
+        self.on_results([*results] if len(results) == len(self.messages) else [*results] * len(self.messages))
 
 
-class Outside:
-    """The transport and the platform."""
+class FakeTransport:
+    """A transport and notifier that record calls and notifications."""
 
-    def __init__(self, journal: Journal, per_call: int) -> None:
-        self.journal, self.per_call = journal, per_call
-        self.sent: list[Sent] = []
+    def __init__(self, journal: Journal, messages_per_call: int) -> None:
+        self.journal, self.messages_per_call = journal, messages_per_call
+        self.calls: list[StartedCall] = []
         self.recalled: list[int] = []
-        self.recorded: list[list[str]] = []  # attempts in the journal when each call started
-        self.notices: dict[str, tuple[str, int, Callable[[], None]]] = {}
+        self.journaled_attempts: list[list[str]] = []  # attempts in the journal when each call started
+        self.notifications: dict[str, tuple[str, int, Callable[[], None]]] = {}
 
     def start(
         self,
         endpoint: int,
-        parcels: list[OutgoingMessage],
-        until: float,
-        begin_by: float | None,
-        done: Callable[[list[AttemptResult]], None],
-        wanted: Callable[[str], bool],
-    ) -> Sent:
-        self.recorded.append([e.id for e in self.journal.open_messages if e.in_flight_since_ms is not None])
-        self.sent.append(Sent(endpoint, parcels, until, begin_by, done, wanted))
-        return self.sent[-1]
+        messages: list[OutgoingMessage],
+        deadline_ms: float,
+        start_by_ms: float | None,
+        on_results: Callable[[list[AttemptResult]], None],
+        is_wanted: Callable[[str], bool],
+    ) -> StartedCall:
+        self.journaled_attempts.append(
+            [e.id for e in self.journal.open_messages if e.in_flight_since_ms is not None]
+        )
+        self.calls.append(StartedCall(endpoint, messages, deadline_ms, start_by_ms, on_results, is_wanted))
+        return self.calls[-1]
 
     def recall(self, endpoint: int) -> None:
         self.recalled.append(endpoint)
@@ -73,79 +75,89 @@
     def close_idle(self, endpoint: int) -> None:
         pass
 
-    def serves(self, dest: int) -> bool:
-        return dest in (1, 2)
+    def serves(self, destination: int) -> bool:
+        return destination in (1, 2)
 
     def describe(self, endpoint: int) -> tuple[str, str, int]:
-        return f"s-{endpoint}", "z", self.per_call
+        return f"s-{endpoint}", "z", self.messages_per_call
 
-    def announce(
-        self, message: str, state: str, after_ms: int, heard: Callable[[], None], reason: str = ""
+    def notify(
+        self,
+        message_id: str,
+        state: str,
+        retry_after_ms: int,
+        on_acknowledged: Callable[[], None],
+        reason: str = "",
     ) -> None:
-        assert message not in self.notices
-        self.notices[message] = state, after_ms, heard
+        assert message_id not in self.notifications
+        self.notifications[message_id] = state, retry_after_ms, on_acknowledged
 
 
 class World:
-    """One incarnation of an engine after the other, on one data directory."""
+    """A delivery engine that can be killed and restarted on the same data directory."""
 
     def __init__(
         self,
-        folder: Path,
+        directory: Path,
         kind: str = "",
-        disk: int = 1_000_000,
-        keeps: Callable[[World], DeadLetterPort] | None = None,
+        disk_limit_bytes: int = 1_000_000,
+        create_dead_letters: Callable[[World], DeadLetterPort] | None = None,
         **changes: object,
     ) -> None:
-        self.folder, self.kind, self.disk, self.keeps = folder, kind, disk, keeps
+        self.directory, self.kind, self.disk_limit_bytes, self.create_dead_letters = (
+            directory,
+            kind,
+            disk_limit_bytes,
+            create_dead_letters,
+        )
         classes = CLASSES | {"keyed": KEYED}
         values = settings(**{"classes": classes} | changes)
         self.settings = replace(values, notifications_are_acknowledged=True, can_recall=True)
-        self.clock, self.slow_start = ManualClock(), 0.0
+        self.clock, self.start_duration_ms = ManualClock(), 0.0
         self.start()
 
     def start(self) -> None:
-        self.turns: list[Callable[[], None]] = []
-        self.deadlines = TimerQueue(self.clock)
-        self.journal = Journal(self.folder, self.disk)
-        self.out = Outside(self.journal, 5 if self.kind == "batch" else 1)
+        self.callbacks: list[Callable[[], None]] = []
+        self.timers = TimerQueue(self.clock)
+        self.journal = Journal(self.directory, self.disk_limit_bytes)
+        self.transport = FakeTransport(self.journal, 5 if self.kind == "batch" else 1)
         ports = EnginePorts(
             clock=self.clock,
-            timers=self.deadlines,
+            timers=self.timers,
             journal=self.journal,
-            transport=self.out,
-            notifier=self.out,
-            call_soon=self.turns.append,
-            dead_letters=self.keeps(self) if self.keeps else None,
+            transport=self.transport,
+            notifier=self.transport,
+            call_soon=self.callbacks.append,
+            dead_letters=self.create_dead_letters(self) if self.create_dead_letters else None,
         )
-        self.courier = DeliveryEngine(self.settings, 1, ports)
+        self.engine = DeliveryEngine(self.settings, 1, ports)
         rows = tuple(api.EndpointEntry(e, e // 10, kind=self.kind) for e in (11, 21))
-        self.courier.update_endpoints(api.EndpointsUpdated(api.UpdateScope.STALE, rows))
-        self.courier.recover()
-        self.clock.advance(self.slow_start)
+        self.engine.update_endpoints(api.EndpointsUpdated(api.UpdateScope.STALE, rows))
+        self.engine.recover()
+        self.clock.advance(self.start_duration_ms)
         self.run()
 
     def kill(self) -> None:
-        """Crash, and start 600 ms later: nothing remains but the data directory."""
+        """Kill the engine and restart it 600 ms later with only its data directory."""
         self.journal.close()
         self.clock.advance(600)
         self.start()
 
     def run(self, ms: int = 5) -> None:
-        """Let time pass, a millisecond at a time: a step of the settings at least."""
+        """Advance the clock in steps of 1 ms, by one scheduling step at least."""
         for step in range(max(ms, 5) + 1):
             self.clock.advance(1 if step else 0)
-            self.deadlines.run_due()
-            while self.turns:
-                self.turns.pop(0)()
+            self.timers.run_due()
+            while self.callbacks:
+                self.callbacks.pop(0)()
 
-    def put(self, name: str, cls: str = "safe", key: int | None = None, left: float = 20_000.0) -> int:
-        handle = self.courier.accept(SubmittedMessage(name, cls, key, 1, left, "f00d", name.encode()))
+    def submit(self, name: str, cls: str = "safe", key: int | None = None, left: float = 20_000.0) -> int:
+        handle = self.engine.accept(SubmittedMessage(name, cls, key, 1, left, "f00d", name.encode()))
         self.run()
         return handle
 
-    def ids(self) -> list[list[str]]:
-        return [[p.id for p in sent.parcels] for sent in self.out.sent]
+    def sent_ids(self) -> list[list[str]]:
+        return [[p.id for p in call.messages] for call in self.transport.calls]
 
-    def open(self) -> list[str]:
+    def open_ids(self) -> list[str]:
         return [e.id for e in self.journal.open_messages]
--- a/tests/disks.py
+++ b/tests/disks.py
@@ -1,4 +1,4 @@
-"""Fake disks that fill up, or kill the process, at a chosen call."""
+"""Fake disks that fill up, fail, or kill the process at a given call."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class FillingDisk(Disk):
-    """A disk that is full while `is_full` is set, and takes half of the data before it says so."""
+    """A disk that fails with ENOSPC while `is_full` is set; larger writes first store half of their data."""
 
     def __init__(self) -> None:
         self.is_full = False
@@ -25,7 +25,7 @@
 
 
 class BoundedDisk(Disk):
-    """A disk that takes so many bytes more."""
+    """A disk with a limited number of free bytes."""
 
     def __init__(self) -> None:
         self.free_bytes = 1 << 30
@@ -39,11 +39,11 @@
 
 
 class ProcessKilled(BaseException):
-    """The process dies here."""
+    """Raised where the process would be killed."""
 
 
 class KillingDisk(Disk):
-    """Kills the process at a numbered call to the disk, with part of what it was to write."""
+    """Kills the process at a numbered disk call; a write first stores half of its data."""
 
     def __init__(self, at_call: int) -> None:
         self.calls_left = at_call
@@ -75,7 +75,7 @@
 
 
 class FailingDisk(Disk):
-    """A disk on which the named calls fail with EIO, and a write leaves half of its data behind first."""
+    """A disk whose calls named in `failing` fail with EIO; a write first stores half of its data."""
 
     def __init__(self) -> None:
         self.failing: set[str] = set()
@@ -83,17 +83,17 @@
     def write(self, fd: int, data: memoryview) -> int:
         if "write" in self.failing and len(data) > 1:
             super().write(fd, data[: len(data) // 2])
-        self._fail_if_told("write")
+        self._fail_if_selected("write")
         return super().write(fd, data)
 
     def truncate(self, fd: int, size: int) -> None:
-        self._fail_if_told("truncate")
+        self._fail_if_selected("truncate")
         super().truncate(fd, size)
 
     def remove(self, path: Path) -> None:
-        self._fail_if_told("remove")
+        self._fail_if_selected("remove")
         super().remove(path)
 
-    def _fail_if_told(self, call: str) -> None:
+    def _fail_if_selected(self, call: str) -> None:
         if call in self.failing:
             raise OSError(errno.EIO, "Input/output error")
--- a/tests/fleet_helpers.py
+++ b/tests/fleet_helpers.py
@@ -1,4 +1,4 @@
-"""Clients of fleets of real couriers, and what the tests of fleets wait for and assert."""
+"""Clients, wait conditions and assertions of tests with fleets of courier processes."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def submit_notices(fleet: Fleet, name: str, count: int) -> list[str]:
-    """Submit notices to a courier, and return the ids of those that it has accepted."""
+    """Submit notices to a courier, and return the ids of the accepted ones."""
     message_ids = []
     for number in range(count):
         message_id = new_message_id()
@@ -37,7 +37,7 @@
 def submit_payment(fleet: Fleet, name: str, ordering_key: int, token: str = "") -> str:
     """Submit a payment until the courier accepts it, and return its id.
 
-    A courier whose replica has gone rejects messages until it has another.
+    A courier that has lost its replica rejects messages until it has another replica.
     """
     message_id = ""
 
@@ -54,7 +54,7 @@
 
 
 def accepts_messages(fleet: Fleet, name: str) -> bool:
-    """Return whether a courier accepts messages: its work is its own, and replicated."""
+    """Return whether a courier accepts messages: it owns its journal, and all records are replicated."""
     metrics = fleet[name].read_metrics()
     return (
         bool(metrics.get("fleet.copies.mine"))
@@ -69,18 +69,18 @@
 
 
 def takeover_counts(fleet: Fleet, names: Iterable[str] = NAMES) -> list[int | None]:
-    """Return how many takeovers some couriers have begun; None for one that does not answer."""
+    """Return the number of takeovers by each courier; None for a courier that does not answer."""
     return [fleet[name].read_metrics().get("fleet.copies.taken_over") for name in names]
 
 
 def wait_for_takeover(fleet: Fleet, names: Iterable[str]) -> None:
-    """Wait until one of some couriers has taken over another's messages."""
+    """Wait until one of the given couriers has taken over another's messages."""
     candidates = list(names)
     wait_for("another takes over its messages", lambda: any(takeover_counts(fleet, candidates)))
 
 
 def wait_for_no_takeover(fleet: Fleet) -> None:
-    """Wait until all answer, and none has taken over another's messages."""
+    """Wait until all couriers answer, and none has taken over another's messages."""
     wait_for("all answer without a takeover", lambda: takeover_counts(fleet) == [0] * len(NAMES))
 
 
@@ -91,12 +91,12 @@
 
 
 def assert_delivered_once(endpoints: RecordingEndpoints, message_ids: list[str]) -> None:
-    """Assert that no message was delivered twice, or after its notification, or twice at once."""
+    """Assert that no message was delivered twice, after its notification, or in concurrent calls."""
     assert endpoints.concurrent_message_ids == []
     assert all(endpoints.delivery_counts[message_id] <= 1 for message_id in message_ids)
     assert endpoints.delivered_after_notification(message_ids) == []
 
 
 def has_started(endpoints: RecordingEndpoints, message_id: str) -> bool:
-    """Return whether an endpoint has begun with a message."""
+    """Return whether an endpoint has received a message."""
     return any(start.message_id == message_id for start in endpoints.delivery_starts)
--- a/tests/network_fakes.py
+++ b/tests/network_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes of transports, of the connection pool and of the intake, and builders of what is received."""
+"""Fakes of transports, the connection pool and the intake, and builders of received messages."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class FakeTransport(asyncio.Transport):
-    """A transport that the test plays."""
+    """A transport that records writes; the test controls its state."""
 
     def __init__(self, stuck: bool = False) -> None:
         super().__init__()
@@ -71,7 +71,7 @@
 
 
 class HalfClosableTransport(FakeTransport):
-    """One whose sending side can be shut alone."""
+    """A transport whose sending side can be shut down alone."""
 
     eof = False
 
@@ -83,25 +83,25 @@
 
 
 class FakeLoop:
-    """Keeps the connections that want to connect; the test decides what becomes of them."""
+    """Records the connections that start to connect; the test decides the outcome."""
 
     def __init__(self) -> None:
         self.connections: list[HttpConnection] = []
-        self.soon: list[Callable[[], None]] = []
+        self.scheduled_actions: list[Callable[[], None]] = []
 
-    def create_task(self, job: CoroutineType[None, None, None]) -> FakeLoop:
-        self.connections.append(job.cr_frame.f_locals["self"])
-        job.close()
+    def create_task(self, coroutine: CoroutineType[None, None, None]) -> FakeLoop:
+        self.connections.append(coroutine.cr_frame.f_locals["self"])
+        coroutine.close()
         return self
 
     def cancel(self) -> None: ...
 
     def call_soon(self, action: Callable[[], None]) -> None:
-        self.soon.append(action)
+        self.scheduled_actions.append(action)
 
 
 def feed(connection: asyncio.BufferedProtocol, data: bytes) -> None:
-    """Give a connection bytes, in pieces as large as its buffer takes."""
+    """Pass bytes to a connection, in pieces that fit its buffer."""
     while data:
         view = connection.get_buffer(-1)
         part = data[: len(view)]
@@ -111,7 +111,7 @@
 
 
 class FakeIntake:
-    """Takes every message, or none."""
+    """Accepts every message, or rejects all while `busy` is set."""
 
     def __init__(self) -> None:
         self.accepted_messages: list[tuple[object, ...]] = []
@@ -132,12 +132,18 @@
 
 
 def client_connections(
-    intake: FakeIntake, limit: int = 2, most: int = 2
+    intake: FakeIntake, socket_limit: int = 2, connection_limit: int = 2
 ) -> tuple[ClientConnections, ManualClock, TimerQueue]:
     clock = ManualClock()
     timers = TimerQueue(clock)
     return (
-        ClientConnections(intake, clock, timers, SocketBudget(limit), ListenerOptions(most, lambda: False)),
+        ClientConnections(
+            intake,
+            clock,
+            timers,
+            SocketBudget(socket_limit),
+            ListenerOptions(connection_limit, lambda: False),
+        ),
         clock,
         timers,
     )
@@ -172,7 +178,7 @@
     body: bytes = b"\r\n\x00",
 ) -> bytes:
     words = [b"SUBMIT", key, name, names, body]
-    return b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(w), w) for w in words)
+    return b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in words)
 
 
 BAD_REQUESTS = [
@@ -227,7 +233,7 @@
 
 
 class FakePool:
-    """Stands for the pool: keeps what was called."""
+    """A connection pool that records its calls."""
 
     def __init__(self) -> None:
         self.calls: list[
@@ -245,7 +251,7 @@
         make_request: RequestFactory,
         deadline_ms: float,
         on_result: Callable[[HttpCallResult], None],
-        options: CallOptions = CallOptions(),  # noqa: B008  # it is frozen
+        options: CallOptions = CallOptions(),  # noqa: B008  # the class is frozen
     ) -> FakePool:
         self.calls.append((make_request(), on_result, options.on_body))
         return self
--- a/tests/overload_fixture.py
+++ b/tests/overload_fixture.py
@@ -1,4 +1,4 @@
-"""A governor that tests of the overload control ask."""
+"""A governor with a clock, for tests of the overload control."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class GovernorFixture:
-    """A governor with a clock, and a way of asking it."""
+    """A governor with a clock, and helpers that submit messages and begin outages."""
 
     def __init__(self, rate: float = 10.0, **overload_settings: object) -> None:
         self.settings = settings(max_held=100, senders=2, me=0, max_retry_after_ns=2 * NS_PER_SECOND)
@@ -61,4 +61,6 @@
             self.governor.call_ended(self.now, dest, Outcome.TIMEOUT, 500 * MS, 0)
 
     def state(self, dest: int = 1) -> DestinationState:
-        return next(one for one in self.governor.destinations if one.id == dest).tracker.state
+        return next(
+            destination for destination in self.governor.destinations if destination.id == dest
+        ).tracker.state
--- a/tests/scheduling_traffic.py
+++ b/tests/scheduling_traffic.py
@@ -1,4 +1,4 @@
-"""Traffic for tests of the scheduler: calls that are delivered, and calls whose answers are lost."""
+"""Traffic for tests of the scheduler: delivered calls, and calls whose responses are lost."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def deliver_calls(world: World, dest: int, endpoint: int, count: int = 12) -> None:
-    """Let calls to an endpoint be delivered after 100 ms, one after another."""
+    """Deliver calls to an endpoint one after another, each after 100 ms."""
     done = len(world.attempts)
     for i in range(done, done + count):
         world.put(f"w{dest}-{endpoint}-{i}", dest, after=5 * MS)
@@ -17,7 +17,7 @@
 
 
 def lose_answers(world: World, rounds: int, size: int = 1) -> None:
-    """Let the answers of calls be lost while one sent after each is delivered."""
+    """Lose the responses of calls, while a call that is sent after them is delivered."""
     for i in range(rounds):
         names = [f"lost{i}-{j}" for j in range(size)]
         world.do(*(api.MessageArrived(name, "safe", 1, 20 * SECOND) for name in names), after=50 * MS)
--- a/tests/slow_start_fleet.py
+++ b/tests/slow_start_fleet.py
@@ -1,7 +1,7 @@
-"""Many schedulers before one destination in virtual time, which share nothing but that destination.
+"""Simulates many schedulers that share only one destination, in virtual time.
 
-The destination goes through one outage and is cold afterwards. The fleet's calls are counted where they
-arrive, against the budget that a cold destination has for all senders together.
+The destination has one outage and warms up afterwards. The calls of the fleet are counted on arrival, and
+compared with the budget that a destination has for all senders while it warms up.
 """
 
 from __future__ import annotations
@@ -21,31 +21,31 @@
 
 DESTINATION = 1
 FIRST_ENDPOINT = 11
-AIM_NS = 4 * SECOND
+LATENCY_OBJECTIVE_NS = 4 * SECOND
 DEADLINE_NS = 24 * SECOND
 LATENCY_NS = (40 * MS, 160 * MS)
-REFUSAL_NS = 1 * MS
-FAILING_CALLS = 0.85  # in an outage in which most calls fail
-LISTED_AFTER_NS = SECOND // 2  # from the return of a replaced endpoint until senders are told
-RUN_OFF_NS = 25 * SECOND  # for what is held after the last arrival
-FIRST_SECONDS = 10  # after the return, in which what comes is to be sent
-SMALL_BUDGET = 30  # calls; under it the tolerance has three deviations, else two
-TOLD_SHARE = 2 / 3  # the rule is broken if more of the calls came from senders that had been told
+FAILURE_LATENCY_NS = 1 * MS
+FAILING_SHARE = 0.85  # share of calls that fail in an outage of the kind ERRORS
+LISTED_AFTER_NS = SECOND // 2  # from the return of a replaced endpoint until senders get the new list
+DRAIN_NS = 25 * SECOND  # for messages that are held after the last arrival
+FIRST_SECONDS = 10  # after the return, in which new messages must be sent
+SMALL_BUDGET = 30  # calls; the tolerance has three deviations below it, otherwise two
+AWARE_SHARE = 2 / 3  # an overload counts if more of its calls came from senders that knew of the outage
 
 CLASS = MessageClass(
-    "order", 2.0, AIM_NS, DEADLINE_NS, 0.4, Effect.KEYED, dedup_ns=10 * SECOND, max_attempts=6
+    "order", 2.0, LATENCY_OBJECTIVE_NS, DEADLINE_NS, 0.4, Effect.KEYED, dedup_ns=10 * SECOND, max_attempts=6
 )
 
 
 class Fault(Enum):
-    """What a destination does with calls during its outage."""
+    """The behaviour of a destination during its outage."""
 
-    REFUSE = "refuse"  # no connection
-    HANG = "hang"  # takes calls, answers nothing
-    RESET = "reset"  # breaks each call's connection
+    REFUSE = "refuse"  # refuses connections
+    HANG = "hang"  # accepts calls, and does not respond
+    RESET = "reset"  # resets the connection of each call
     ERRORS = "errors"  # most calls fail
-    SHUT = "shut"  # turns calls away, without a wait
-    RELEASE = "release"  # its endpoint is taken out of service, and replaced by another one after the return
+    REJECT = "shut"  # rejects calls, without a wait
+    REPLACE = "release"  # removes its endpoint, and lists another one after the return
     NONE = "none"
 
 
@@ -54,20 +54,20 @@
     """One day of a fleet.
 
     Attributes:
-        senders: how many schedulers there are.
-        calls_per_s: messages a second that one sender is handed in the mean.
-        uneven: whether some senders are handed several times the mean.
-        endpoints: how many endpoints the destination has.
-        fault: what the destination does in its outage.
-        outage_seconds: how long the outage lasts.
-        headroom: the destination's capacity over the load of the whole fleet.
+        senders: the number of schedulers.
+        calls_per_s: mean rate of messages of one sender, per second.
+        uneven: whether some senders get several times the mean rate.
+        endpoints: the number of endpoints of the destination.
+        fault: the behaviour of the destination in its outage.
+        outage_seconds: the duration of the outage.
+        headroom: the destination's capacity as a multiple of the load of the fleet.
         states_rate: whether the endpoint list states the destination's rate.
         chance_failures: share of the calls that fail at a healthy destination.
-        late_calls: share of the calls that take many times as long.
-        restarts: share of the senders that restart in the middle of the outage with what they hold.
-        new_endpoint: whether an endpoint is listed in the middle of the outage.
+        late_calls: share of the calls with ten times the latency.
+        restarts: share of the senders that restart in the middle of the outage, with their held messages.
+        new_endpoint: whether a further endpoint is listed in the middle of the outage.
         warm_up_seconds: the time before the outage.
-        cool_down_seconds: the time after it, in which messages still arrive.
+        cool_down_seconds: the time after the outage in which messages arrive.
     """
 
     senders: int
@@ -88,24 +88,26 @@
 
 @dataclass(slots=True)
 class FleetResult:
-    """What a day of a fleet came to.
+    """The result of a day of a fleet.
 
     Attributes:
-        worst_load: the most calls in a window of the rule, over the budget without its tolerance.
-        worst_excess: the most calls in such a window, over the budget with its tolerance.
-        broken_at_s: when the rule was broken, in seconds after the return; None: never.
-        offered: messages handed in.
-        in_time: messages delivered within their objective.
-        delivered: messages delivered at all.
+        worst_load: the largest number of calls in a window, relative to the budget without its tolerance.
+        worst_excess: the largest number of calls in a window, relative to the budget with its tolerance.
+        broken_at_s: when the budget was exceeded, in seconds after the return; None: never.
+        broken_calls: the calls in that window.
+        broken_aware: those of them from senders that knew of the outage.
+        offered: messages that arrived.
+        in_time: messages delivered within their latency objective.
+        delivered: all messages delivered.
         first_calls: calls in the first seconds after the return.
-        first_offered: messages handed in meanwhile.
+        first_offered: messages that arrived in the same time.
     """
 
     worst_load: float = 0.0
     worst_excess: float = 0.0
     broken_at_s: float | None = None
     broken_calls: int = 0
-    broken_told: int = 0
+    broken_aware: int = 0
     offered: int = 0
     in_time: int = 0
     delivered: int = 0
@@ -114,7 +116,7 @@
 
 
 def fleet_settings(day: FleetDay) -> Settings:
-    """Settings of one sender of the day."""
+    """Return the settings of each sender of a day."""
     busy_calls = day.calls_per_s * LATENCY_NS[1] / SECOND
     return Settings(
         classes={CLASS.name: CLASS},
@@ -138,7 +140,7 @@
 
 
 @dataclass(slots=True)
-class _Held:
+class _HeldMessage:
     """A message that a sender holds."""
 
     arrived_ns: int
@@ -151,23 +153,23 @@
 class _Sender:
     scheduler: Scheduler
     rate_per_s: float
-    is_told: bool = False
-    life: int = 0
-    held: dict[str, _Held] = field(default_factory=dict)
-    recorded: api.RecordSlowStart | None = None  # as the journal has it
+    is_aware: bool = False
+    incarnation: int = 0
+    held: dict[str, _HeldMessage] = field(default_factory=dict)
+    recorded: api.RecordSlowStart | None = None  # the latest record, as in the journal
     calls: dict[tuple[str, int], _OutgoingCall] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class _OutgoingCall:
     sender: int
-    life: int
+    incarnation: int
     message: str
     attempt: int
     endpoint: int
     sent_ns: int
-    until_ns: int
-    is_over: bool = False
+    abandon_at_ns: int
+    is_completed: bool = False
 
 
 class _Kind(Enum):
@@ -179,7 +181,7 @@
 
 
 class FleetPlay:
-    """Plays one day."""
+    """Simulates one day."""
 
     def __init__(self, day: FleetDay, seed: int) -> None:
         self.day = day
@@ -196,7 +198,7 @@
         self.queue: list[tuple[int, int, _Kind, int, object]] = []
         self.order = count()
         self.window: deque[tuple[int, bool]] = deque()
-        self.told_in_window = 0
+        self.aware_in_window = 0
         self.result = FleetResult()
         self.hung: list[_OutgoingCall] = []
 
@@ -204,18 +206,18 @@
         share = self.rng.choice((0.3, 0.5, 0.7, 1.0, 2.5)) if self.day.uneven else 1.0
         return _Sender(Scheduler(self.settings, self.seed * 1_000 + number), share * self.day.calls_per_s)
 
-    def _push(self, at_ns: int, kind: _Kind, sender: int, what: object) -> None:
-        heapq.heappush(self.queue, (at_ns, next(self.order), kind, sender, what))
+    def _push(self, at_ns: int, kind: _Kind, sender: int, data: object) -> None:
+        heapq.heappush(self.queue, (at_ns, next(self.order), kind, sender, data))
 
     def play(self) -> FleetResult:
-        """Play the day and return what it came to."""
+        """Simulate the day and return its result."""
         self._schedule()
-        end_ns = self.last_arrival_ns + RUN_OFF_NS
+        end_ns = self.last_arrival_ns + DRAIN_NS
         while self.queue:
-            now, _, kind, number, what = heapq.heappop(self.queue)
+            now, _, kind, number, data = heapq.heappop(self.queue)
             if now > end_ns:
                 break
-            self._handle(now, kind, number, what)
+            self._handle(now, kind, number, data)
         return self.result
 
     def _schedule(self) -> None:
@@ -230,7 +232,7 @@
         middle_ns = (self.outage_ns + self.return_ns) // 2
         for number in range(int(self.day.restarts * self.day.senders)):
             self._push(middle_ns + self.rng.randrange(SECOND // 2), _Kind.RESTART, number, None)
-        if self.day.fault is Fault.RELEASE:
+        if self.day.fault is Fault.REPLACE:
             for number in range(self.day.senders):
                 self._push(self.outage_ns, _Kind.LISTING, number, None)
                 listed_ns = self.return_ns + LISTED_AFTER_NS + self.rng.randrange(SECOND // 10)
@@ -240,20 +242,20 @@
             for number in range(self.day.senders):
                 self._push(middle_ns + self.rng.randrange(SECOND // 2), _Kind.LISTING, number, None)
 
-    def _handle(self, now: int, kind: _Kind, number: int, what: object) -> None:
+    def _handle(self, now: int, kind: _Kind, number: int, data: object) -> None:
         sender = self.senders[number]
         match kind:
             case _Kind.ARRIVAL:
                 message = f"{number}-{now}"
-                sender.held[message] = _Held(now)
+                sender.held[message] = _HeldMessage(now)
                 self.result.offered += 1
-                self.result.first_offered += self._is_just_back(now)
+                self.result.first_offered += self._has_just_returned(now)
                 self._drive(now, number, [api.MessageArrived(message, CLASS.name, DESTINATION, DEADLINE_NS)])
             case _Kind.TIMER:
-                if what == sender.life:
+                if data == sender.incarnation:
                     self._drive(now, number, [api.TimerFired(0)])
             case _Kind.OUTCOME:
-                call, outcome = what  # type: ignore[misc]
+                call, outcome = data  # type: ignore[misc]
                 self._complete(now, call, outcome)
             case _Kind.LISTING:
                 self._drive(now, number, [self._listing(now)])
@@ -261,7 +263,7 @@
                 self._restart(now, number)
 
     def _listing(self, now: int) -> api.EndpointsUpdated:
-        if self.day.fault is Fault.RELEASE and self.outage_ns <= now < self.return_ns:
+        if self.day.fault is Fault.REPLACE and self.outage_ns <= now < self.return_ns:
             return api.EndpointsUpdated(api.UpdateScope.SNAPSHOT, ())
         listed = self.endpoints if now > self.start_ns else self.endpoints[: self.day.endpoints]
         rows = tuple(
@@ -270,24 +272,24 @@
         return api.EndpointsUpdated(api.UpdateScope.SNAPSHOT, rows)
 
     def _restart(self, now: int, number: int) -> None:
-        """Replace a sender by a new one that recovers what the journal would hold."""
+        """Replace a sender by a new one that recovers the state in the journal."""
         sender = self.senders[number]
-        sender.life += 1
+        sender.incarnation += 1
         sender.scheduler = Scheduler(self.settings, self.seed * 1_000 + number + 500_000)
         sender.calls.clear()
         events: list[api.Event] = [self._listing(now)]
         if sender.recorded is not None:
             record = sender.recorded
-            ago_ns = now - record.since_ns
+            elapsed_ns = now - record.since_ns
             events.append(
-                api.SlowStartRecovered(record.destination, record.phase, ago_ns, record.calls_per_s)
+                api.SlowStartRecovered(record.destination, record.phase, elapsed_ns, record.calls_per_s)
             )
         for message, held in sender.held.items():
             remaining_ns = max(0, held.arrived_ns + DEADLINE_NS - now)
             arrived = api.MessageArrived(message, CLASS.name, DESTINATION, remaining_ns)
-            ran_ago_ns = None if held.maybe_ran_ns is None else now - held.maybe_ran_ns
+            executed_ago_ns = None if held.maybe_ran_ns is None else now - held.maybe_ran_ns
             events.append(
-                api.MessageRecovered(arrived, held.attempt_count, ran_ago_ns, "", held.is_in_flight)
+                api.MessageRecovered(arrived, held.attempt_count, executed_ago_ns, "", held.is_in_flight)
             )
             held.is_in_flight = False
         self._drive(now, number, events)
@@ -297,9 +299,9 @@
         for command in sender.scheduler.handle(now, events):
             match command:
                 case api.SetTimer(after_ns, _):
-                    self._push(now + after_ns, _Kind.TIMER, number, sender.life)
-                case api.StartAttempt(message, endpoint, until_ns, _):
-                    self._start(now, number, message, endpoint, until_ns)
+                    self._push(now + after_ns, _Kind.TIMER, number, sender.incarnation)
+                case api.StartAttempt(message, endpoint, abandon_at_ns, _):
+                    self._start(now, number, message, endpoint, abandon_at_ns)
                 case api.CancelAttempt(message, attempt):
                     call = sender.calls.get((message, attempt))
                     if call is not None:
@@ -309,61 +311,63 @@
                 case api.RecordSlowStart():
                     sender.recorded = command
 
-    def _start(self, now: int, number: int, message: str, endpoint: int, until_ns: int) -> None:
+    def _start(self, now: int, number: int, message: str, endpoint: int, abandon_at_ns: int) -> None:
         sender = self.senders[number]
         held = sender.held[message]
-        self.result.first_calls += self._is_just_back(now)
-        call = _OutgoingCall(number, sender.life, message, held.attempt_count, endpoint, now, until_ns)
+        self.result.first_calls += self._has_just_returned(now)
+        call = _OutgoingCall(
+            number, sender.incarnation, message, held.attempt_count, endpoint, now, abandon_at_ns
+        )
         held.attempt_count += 1
         held.is_in_flight = True
         if held.maybe_ran_ns is None:
             held.maybe_ran_ns = now
         sender.calls[message, call.attempt] = call
         if now >= self.return_ns and self.day.fault is not Fault.NONE:
-            self._count(now, sender.is_told or self.day.fault is Fault.RELEASE)
-        self._push(until_ns, _Kind.OUTCOME, number, (call, Outcome.TIMEOUT))
+            self._count(now, sender.is_aware or self.day.fault is Fault.REPLACE)
+        self._push(abandon_at_ns, _Kind.OUTCOME, number, (call, Outcome.TIMEOUT))
         latency_ns = self.rng.randrange(*LATENCY_NS)
-        if self._is_out(now):
+        if self._is_in_outage(now):
             self._fail(now, call, latency_ns)
             return
         if self.rng.random() < self.day.late_calls:
             latency_ns *= 10
-        is_chance_failure = self.rng.random() < self.day.chance_failures
-        outcome = Outcome.ERROR if is_chance_failure else Outcome.DELIVERED
+        is_random_failure = self.rng.random() < self.day.chance_failures
+        outcome = Outcome.ERROR if is_random_failure else Outcome.DELIVERED
         self._push(now + latency_ns, _Kind.OUTCOME, number, (call, outcome))
 
-    def _is_just_back(self, now: int) -> bool:
+    def _has_just_returned(self, now: int) -> bool:
         return 0 <= now - self.return_ns < FIRST_SECONDS * SECOND
 
-    def _is_out(self, now: int) -> bool:
-        return self.day.fault not in (Fault.NONE, Fault.RELEASE) and self.outage_ns <= now < self.return_ns
+    def _is_in_outage(self, now: int) -> bool:
+        return self.day.fault not in (Fault.NONE, Fault.REPLACE) and self.outage_ns <= now < self.return_ns
 
     def _fail(self, now: int, call: _OutgoingCall, latency_ns: int) -> None:
         number = call.sender
         match self.day.fault:
             case Fault.REFUSE:
-                self._push(now + REFUSAL_NS, _Kind.OUTCOME, number, (call, Outcome.CONNECT_FAILED))
+                self._push(now + FAILURE_LATENCY_NS, _Kind.OUTCOME, number, (call, Outcome.CONNECT_FAILED))
             case Fault.RESET:
-                self._push(now + REFUSAL_NS, _Kind.OUTCOME, number, (call, Outcome.RESET))
-            case Fault.SHUT:
+                self._push(now + FAILURE_LATENCY_NS, _Kind.OUTCOME, number, (call, Outcome.RESET))
+            case Fault.REJECT:
                 self._push(now + latency_ns, _Kind.OUTCOME, number, (call, Outcome.FULL))
             case Fault.ERRORS:
-                fails = self.rng.random() < FAILING_CALLS
+                fails = self.rng.random() < FAILING_SHARE
                 outcome = Outcome.ERROR if fails else Outcome.DELIVERED
                 self._push(now + latency_ns, _Kind.OUTCOME, number, (call, outcome))
-            case Fault.HANG:  # what still waits is answered at the return
+            case Fault.HANG:  # calls that still wait get a response at the return
                 at_ns = self.return_ns + latency_ns
                 self._push(at_ns, _Kind.OUTCOME, number, (call, Outcome.DELIVERED))
 
     def _complete(self, now: int, call: _OutgoingCall, outcome: Outcome) -> None:
         sender = self.senders[call.sender]
-        if call.is_over or call.life != sender.life:
+        if call.is_completed or call.incarnation != sender.incarnation:
             return
-        call.is_over = True
+        call.is_completed = True
         del sender.calls[call.message, call.attempt]
         is_delivered = outcome is Outcome.DELIVERED
         if not is_delivered and self.outage_ns <= call.sent_ns < self.return_ns:
-            sender.is_told = True
+            sender.is_aware = True
         held = sender.held.get(call.message)
         if held is not None:
             held.is_in_flight = False
@@ -371,48 +375,50 @@
                 held.maybe_ran_ns = None
         if is_delivered and held is not None:
             self.result.delivered += 1
-            self.result.in_time += now - held.arrived_ns <= AIM_NS
+            self.result.in_time += now - held.arrived_ns <= LATENCY_OBJECTIVE_NS
             del sender.held[call.message]
         event = api.AttemptCompleted(
             call.message, call.attempt, call.endpoint, outcome, now - call.sent_ns, is_final=is_delivered
         )
         self._drive(now, call.sender, [event])
 
-    def _count(self, now: int, is_told: bool) -> None:
-        """Count a call that arrives at the cold destination."""
+    def _count(self, now: int, is_aware: bool) -> None:
+        """Count a call that arrives while the destination warms up."""
         settings = self.settings
-        cold_for_ns = now - self.return_ns
-        if cold_for_ns >= settings.cold_ns:
+        since_return_ns = now - self.return_ns
+        if since_return_ns >= settings.cold_ns:
             return
-        self.window.append((now, is_told))
-        self.told_in_window += is_told
+        self.window.append((now, is_aware))
+        self.aware_in_window += is_aware
         while self.window[0][0] <= now - settings.tip_after_ns:
-            self.told_in_window -= self.window.popleft()[1]
-        part = settings.start_capacity + (1 - settings.start_capacity) * cold_for_ns / settings.cold_ns
-        budget = settings.fall_multiple * part * self.capacity_per_s * settings.tip_after_ns / SECOND
+            self.aware_in_window -= self.window.popleft()[1]
+        fraction = (
+            settings.start_capacity + (1 - settings.start_capacity) * since_return_ns / settings.cold_ns
+        )
+        budget = settings.fall_multiple * fraction * self.capacity_per_s * settings.tip_after_ns / SECOND
         calls = len(self.window)
         limit = budget + tolerance(budget)
         result = self.result
         result.worst_load = max(result.worst_load, calls / budget)
         result.worst_excess = max(result.worst_excess, calls / limit)
-        if result.broken_at_s is None and calls > limit and self.told_in_window > TOLD_SHARE * calls:
-            result.broken_at_s = cold_for_ns / SECOND
-            result.broken_calls, result.broken_told = calls, self.told_in_window
+        if result.broken_at_s is None and calls > limit and self.aware_in_window > AWARE_SHARE * calls:
+            result.broken_at_s = since_return_ns / SECOND
+            result.broken_calls, result.broken_aware = calls, self.aware_in_window
 
 
 def tolerance(budget: float) -> float:
-    """Return how many calls over its budget a cold destination bears, for chance."""
+    """Return the margin above its budget that a destination tolerates, in calls."""
     deviations = 3 if budget < SMALL_BUDGET else 2
     return deviations * (math.sqrt(budget) + 1)
 
 
 def play_fleet(day: FleetDay, seed: int) -> FleetResult:
-    """Play one day of a fleet."""
+    """Simulate one day of a fleet."""
     return FleetPlay(day, seed).play()
 
 
 def draw_day(seed: int) -> FleetDay:
-    """Draw a day: fleets of 3 to 200 senders, one to eight endpoints, outages of 1 to 30 s."""
+    """Draw a random day: 3 to 200 senders, one to eight endpoints, an outage of 1 to 30 s."""
     rng = random.Random(seed)
     senders = rng.choice((3, 4, 8, 20, 50, 100, 200))
     offered_per_s = rng.choice((20, 60, 120))
@@ -421,7 +427,7 @@
         min(20.0, max(0.1, offered_per_s / senders)),
         uneven=rng.random() < 0.5,
         endpoints=rng.choice((1, 2, 3, 5, 8)),
-        fault=rng.choice([fault for fault in Fault if fault not in (Fault.NONE, Fault.RELEASE)]),
+        fault=rng.choice([fault for fault in Fault if fault not in (Fault.NONE, Fault.REPLACE)]),
         outage_seconds=rng.choice((1, 2, 3, 5, 8, 12, 20, 30)),
         headroom=rng.choice((1.1, 1.5, 2.0, 3.0)),
         states_rate=rng.random() < 0.6,
--- a/tests/slow_start_processes.py
+++ b/tests/slow_start_processes.py
@@ -22,7 +22,7 @@
 from winchspan.fakes.sockets import HOST
 
 from .loopback import PATIENCE, submit
-from .slow_start_fleet import TOLD_SHARE, tolerance
+from .slow_start_fleet import AWARE_SHARE, tolerance
 
 DESTINATION = 3
 MESSAGE_CLASS = "order-payment"
@@ -99,7 +99,7 @@
     @property
     def breaks_rule(self) -> bool:
         """Whether the calls of couriers that had been told push the destination over."""
-        return self.calls > self.budget + tolerance(self.budget) and self.told > TOLD_SHARE * self.calls
+        return self.calls > self.budget + tolerance(self.budget) and self.told > AWARE_SHARE * self.calls
 
 
 class FaultyDestination:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter, end to end, on lines of the tests' own."""
+"""End-to-end tests of the adapter process."""
 
 from __future__ import annotations
 
@@ -93,7 +93,7 @@
 
 
 def run(lines: list[str], hash_seed: str = "0") -> tuple[int, list[list[dict[str, Any]]], str]:
-    """Run the adapter in a process of its own."""
+    """Run the adapter as a process; return its exit code, its replies and its stderr output."""
     done = subprocess.run(
         [sys.executable, "-m", "winchspan.adapter"],
         input="\n".join(lines) + "\n",
--- a/tests/test_application_components.py
+++ b/tests/test_application_components.py
@@ -1,4 +1,4 @@
-"""What every courier is built on: slots, timers, log, configuration, and the optional components."""
+"""Basic parts of a courier: slot table, timers, log limit, configuration and optional components."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_slot_table_stale_key_does_not_reach_reused_slot():
+def test_slot_table_stale_handle_does_not_reach_reused_slot():
     table: SlotTable[str] = SlotTable()
     first = table.add("a")
     assert table.remove(first) == "a" and table.remove(first) is None
@@ -56,7 +56,7 @@
     assert list(table) == ["b"] and len(table) == 1
 
 
-def test_timer_queue_fires_in_order_and_never_once_cancelled():
+def test_timer_queue_fires_in_order_and_skips_cancelled_timers():
     clock, fired = ManualClock(), list[str]()
     timers = TimerQueue(clock)
     timers.call_later(20, lambda: fired.append("late"))
@@ -96,7 +96,7 @@
     clock.advance(10_000)
     logger.info("later")
     logger.remove(sink)
-    assert lines[-1] == "later (50 lines before this one left out)\n"
+    assert lines[-1] == "later (50 earlier lines dropped)\n"
 
 
 def test_clock_conversion_between_ms_and_ns():
@@ -155,7 +155,7 @@
 
 
 def test_reload_changes_discovery_and_nothing_else(tmp_path: Path):
-    """The variable is as old as the process: if it won, the watch could never move."""
+    """The environment of a running process cannot change: at a reload, the file takes precedence."""
     env = write_config(tmp_path) | {"ROUTER_DISCOVERY": "127.0.0.5:1"}
     running = load_platform_config(env)
     assert str(running.discovery) == "127.0.0.5:1"
@@ -163,7 +163,7 @@
     config = reload_platform_config(env, running)
     assert str(config.discovery) == "127.0.0.6:2"
     assert (config.seed, config.name) == (running.seed, running.name)
-    write_config(tmp_path, discovery=None)  # the file is not whole, whatever the variable says
+    write_config(tmp_path, discovery=None)  # the key is required even where the variable is set
     with pytest.raises(ConfigError, match="discovery"):
         reload_platform_config(env, running)
     for text in ("", "{", "[]", '{"discovery": "nowhere"}', '{"discovery": "127.0.0.6:2"}'):
@@ -191,7 +191,7 @@
 
 
 def process_control() -> ProcessControl:
-    """A process of which no component may use anything before it is started."""
+    """Return a process control whose functions fail if a component calls them while it is created."""
 
     def unexpected(*arguments: object) -> NoReturn:
         raise AssertionError(f"called while components are created: {arguments}")
@@ -230,7 +230,7 @@
     resources.journal.close()
 
 
-def test_capacity_cluster_and_admin_reduce_what_is_left(config: PlatformConfig):
+def test_capacity_is_reduced_by_cluster_and_admin_server(config: PlatformConfig):
     operator = validate_sections(read_nodes(CLUSTER_SECTION, "operator"), SECTIONS, "operator")
     alone = replace(config, admin_address=None)
     assert journal_capacity_bytes(alone, {}) == config.max_disk_bytes
@@ -250,7 +250,7 @@
 
 
 class FakeWatch:
-    """A discovery watch, as far as the gate looks at it."""
+    """The part of a discovery watch that the gate uses."""
 
     def __init__(self) -> None:
         self.has_received = False
--- a/tests/test_clock_drift.py
+++ b/tests/test_clock_drift.py
@@ -10,25 +10,25 @@
 
 
 def report_readings(
-    clocks: ClockDriftMonitor,
-    gains: dict[str, float],
+    monitor: ClockDriftMonitor,
+    drift_rates: dict[str, float],
     duration_ms: float,
     delay_ms: float = 0.0,
     stalled_ms: float = 0.0,
 ) -> None:
-    """Let nodes report their clocks each 1.8 s; reports of some time are stalled and arrive together."""
+    """Report the nodes' clocks every 1.8 s; reports within `stalled_ms` from 12 s on arrive together."""
     rng, now, stalled_reports = random.Random(1), 0.0, list[tuple[str, float]]()
     while now < duration_ms:
-        for name, gain in gains.items():
-            reading = 5e6 + now * (1.0 + gain)
+        for name, rate in drift_rates.items():
+            reading = 5e6 + now * (1.0 + rate)
             latency_ms = rng.expovariate(1.0 / delay_ms) if delay_ms else 0.0
             if stalled_ms and 12_000.0 < now < 12_000.0 + stalled_ms:
                 stalled_reports.append((name, reading))
             else:
-                clocks.record_reading(now + latency_ms, name, 1, reading)
+                monitor.record_reading(now + latency_ms, name, 1, reading)
         if stalled_reports and now > 12_000.0 + stalled_ms:
             for name, reading in stalled_reports:
-                clocks.record_reading(now, name, 1, reading)
+                monitor.record_reading(now, name, 1, reading)
             stalled_reports.clear()
         now += 1_800.0
 
@@ -37,21 +37,21 @@
 def test_find_drifting_clocks_with_twice_the_stated_drift_names_only_that_clock(
     delay_ms: float, stalled_ms: float
 ):
-    clocks = ClockDriftMonitor()
-    report_readings(clocks, {"n1": 0.0001, "n2": 0.02}, 60_000.0, delay_ms, stalled_ms)
-    found = clocks.find_drifting_clocks("n0", 0.01)
+    monitor = ClockDriftMonitor()
+    report_readings(monitor, {"n1": 0.0001, "n2": 0.02}, 60_000.0, delay_ms, stalled_ms)
+    found = monitor.find_drifting_clocks("n0", 0.01)
     assert list(found) == ["n2"] and found["n2"] == pytest.approx(0.02, abs=0.004)
-    within = ClockDriftMonitor()
-    report_readings(within, {"n1": 0.01, "n2": -0.01}, 60_000.0, delay_ms, stalled_ms)
-    assert within.find_drifting_clocks("n0", 0.01) == {}
+    in_bounds = ClockDriftMonitor()
+    report_readings(in_bounds, {"n1": 0.01, "n2": -0.01}, 60_000.0, delay_ms, stalled_ms)
+    assert in_bounds.find_drifting_clocks("n0", 0.01) == {}
 
 
 def test_find_drifting_clocks_names_the_local_clock_and_none_of_two():
-    clocks = ClockDriftMonitor()
-    report_readings(clocks, {"n1": 0.02, "n2": 0.0201}, 60_000.0, 5.0)
-    assert list(clocks.find_drifting_clocks("n0", 0.01)) == ["n0"], "all others agree"
+    monitor = ClockDriftMonitor()
+    report_readings(monitor, {"n1": 0.02, "n2": 0.0201}, 60_000.0, 5.0)
+    assert list(monitor.find_drifting_clocks("n0", 0.01)) == ["n0"], "all other clocks agree"
     two = ClockDriftMonitor()
     report_readings(two, {"n1": 0.05}, 60_000.0)
     assert two.find_drifting_clocks("n0", 0.01) == {} and two.drift_rate("n1") == pytest.approx(0.05)
-    clocks.record_reading(70_000.0, "n1", 2, 100.0)
-    assert clocks.drift_rate("n1") is None, "another process, perhaps on another clock"
+    monitor.record_reading(70_000.0, "n1", 2, 100.0)
+    assert monitor.drift_rate("n1") is None, "a new process may have another clock"
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -39,7 +39,7 @@
 from winchspan.upgrade.state_codec import decode_state
 from winchspan.upgrade.transferred_state import TransferredState
 
-from .delivery_world import Outside
+from .delivery_world import FakeTransport
 
 WRITTEN_ALIKE = sorted(samples.WRITERS.keys() - {"store"})
 
@@ -384,7 +384,7 @@
     handed = state.courier.engine
     clock = ManualClock(handed.scheduler.now / 1e6 + 1.0, NOW)
     deadlines, turns, journal = TimerQueue(clock), list[Any](), Journal(tmp_path, LIMIT)
-    out, rejoined = Outside(journal, 10), list[Any]()
+    out, rejoined = FakeTransport(journal, 10), list[Any]()
     out.serves = lambda dest: True  # type: ignore[method-assign]
     courier = DeliveryEngine(
         handed.scheduler.settings,
@@ -401,9 +401,9 @@
         deadlines.run_due()
         while turns:
             turns.pop(0)()
-        while out.sent:
-            sent = out.sent.pop()
-            ended += [parcel.id for parcel in sent.parcels]
+        while out.calls:
+            sent = out.calls.pop()
+            ended += [parcel.id for parcel in sent.messages]
             sent.end(AttemptResult(api.Outcome.DELIVERED, is_final=True))
     assert ended == [
         "c9976ef6b12346aa",
--- a/tests/test_config_operator.py
+++ b/tests/test_config_operator.py
@@ -1,4 +1,4 @@
-"""The operator's file: every error names file, line, column and key, and there is no other kind of error."""
+"""The operator's file: every fault raises an OperatorError that names file, line, column and key."""
 
 from __future__ import annotations
 
@@ -38,20 +38,20 @@
             "x.sexp:1:2: winds: unknown section; there are storms, undelivered, resend, control",
         ),
         ("(resend (rate 2))", "x.sexp:1:1: resend: expected a name first"),
-        ('(resend "a") (resend "a")', "x.sexp:1:22: resend: 'a' stands twice"),
+        ('(resend "a") (resend "a")', "x.sexp:1:22: resend: duplicate name 'a'"),
         ('(resend "a" (ran perhaps))', "x.sexp:1:13: resend.ran: expected never or may, not 'perhaps'"),
         ('(resend "a" (hours 3))', "resend.hours of 'a': expected two numbers, not 1"),
         (
             "(control (on yes))",
             "control.socket: expected a name of up to 100 bytes in an existing folder, not ''",
         ),
-        ("(storms (on yes) (on no))", "x.sexp:1:19: storms.on: the key stands twice"),
+        ("(storms (on yes) (on no))", "x.sexp:1:19: storms.on: duplicate key"),
         ("(storms (on yes no))", "x.sexp:1:9: storms.on: expected one value, not 2"),
-        ("(storms) (storms)", "x.sexp:1:11: storms: the section stands twice"),
+        ("(storms) (storms)", "x.sexp:1:11: storms: duplicate section"),
         ("(storms (keys 3.5))", "x.sexp:1:15: storms.keys: expected 16 to 1e+07, not 3.5"),
         ("(storms (keys yes))", "x.sexp:1:15: storms.keys: expected 16 to 1e+07, not True"),
         ("(storms (parts 0.5 2))", "x.sexp:1:9: storms.parts: expected 0.01 to 1, not 2.0"),
-        ("(storms (parts 0.5 0.6))", "storms.parts: must sum to 1 at most, not 1.1"),
+        ("(storms (parts 0.5 0.6))", "storms.parts: must sum to at most 1, not 1.1"),
         ("(storms (calm-share 0.5))", "storms.calm-share: must be below storms.storm-share, 0.3, not 0.5"),
         (
             '(undelivered (on yes) (folder "/no/such"))',
@@ -61,9 +61,9 @@
         ("storms", "x.sexp:1:1: expected (section (key value) ...)"),
         ("(storms on)", "x.sexp:1:9: storms: expected (key value)"),
         ("(storms ((on yes)))", "x.sexp:1:9: storms: expected (key value)"),
-        ("(storms\n(on yes)", "x.sexp:2: a bracket is not closed"),
-        ("(storms))\n", "a bracket closes nothing"),
-        ('(storms (report "x', "x.sexp:1: a text is not closed"),
+        ("(storms\n(on yes)", "x.sexp:2: unclosed bracket"),
+        ("(storms))\n", "unexpected closing bracket"),
+        ('(storms (report "x', "x.sexp:1: unclosed string"),
         ("[storms]", "only round brackets"),
         ("(" * 100_000, "nested too deeply"),
         ("(storms (share nan))", "storms.share"),
--- a/tests/test_config_settings.py
+++ b/tests/test_config_settings.py
@@ -1,4 +1,4 @@
-"""The settings object, and message classes as the journal records them."""
+"""Message classes in the form that the journal records."""
 
 from __future__ import annotations
 
--- a/tests/test_config_transitions.py
+++ b/tests/test_config_transitions.py
@@ -1,4 +1,4 @@
-"""Changing settings while serving: read completely or not at all; open messages keep their class."""
+"""Changes of settings at run time: all or none are applied, and held messages keep their class."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def changed_settings(world: World, drop: str = "", **changes: api.MessageClass) -> api.Settings:
-    """The settings of a world with some classes changed or added, and one dropped."""
+    """Return the settings of a world with some classes changed or added, and one removed."""
     classes = {name: cls for name, cls in world.settings.classes.items() if name != drop}
     return replace(world.settings, classes=classes | changes)
 
@@ -46,48 +46,48 @@
 
 def test_reconfigure_with_an_open_message_keeps_its_class_and_its_attempts(tmp_path: Path):
     world = World(tmp_path, max_attempts=2)
-    world.put("old")
-    world.courier.reconfigure(
+    world.submit("old")
+    world.engine.reconfigure(
         replace(changed_settings(world, safe=replace(CLASSES["safe"], effect=Effect.ONCE)), max_attempts=9)
     )
     world.run(int(CLASS_TRANSITION_MS) + 10)
-    world.put("new")
+    world.submit("new")
     for _ in range(6):
-        for sent in list(world.out.sent):
-            world.out.sent.remove(sent)
+        for sent in list(world.transport.calls):
+            world.transport.calls.remove(sent)
             sent.end(ERROR)
         world.run(3_000)
-    assert world.out.notices["old"][0] == "returned"  # repeatable: after its two attempts
-    assert world.out.notices["new"][0] == "failed"  # once: after one that may have run
-    tried = [begun for begun in world.out.recorded if begun]
+    assert world.transport.notifications["old"][0] == "returned"  # after its two attempts
+    assert world.transport.notifications["new"][0] == "failed"  # after one that may have been executed
+    tried = [begun for begun in world.transport.journaled_attempts if begun]
     assert len(tried) == 3
 
 
 def test_reconfigure_accepts_an_added_class_at_once_and_a_dropped_one_until_clients_switch(tmp_path: Path):
     world = World(tmp_path)
     with pytest.raises(BadRequestError):
-        world.put("early", "fresh")
-    world.courier.reconfigure(changed_settings(world, drop="safe", fresh=CLASSES["safe"]))
-    assert world.put("a", "fresh") >= 0
-    assert world.put("b", "safe") >= 0
+        world.submit("early", "fresh")
+    world.engine.reconfigure(changed_settings(world, drop="safe", fresh=CLASSES["safe"]))
+    assert world.submit("a", "fresh") >= 0
+    assert world.submit("b", "safe") >= 0
     world.run(int(CLASS_TRANSITION_MS) + 10)
     with pytest.raises(BadRequestError, match="unknown class"):
-        world.put("c", "safe")
-    assert world.courier.metrics.completed_counts["errored"]["fresh"] == 0
+        world.submit("c", "safe")
+    assert world.engine.metrics.completed_counts["errored"]["fresh"] == 0
 
 
 def test_restart_with_an_open_message_keeps_the_class_it_was_accepted_under(tmp_path: Path):
-    """Taken once-only, run perhaps, and then the class is said to be repeatable."""
+    """Guards against a second attempt of a once message after its class has become repeatable."""
     world = World(tmp_path)
-    world.put("risky", "once")
-    assert len(world.out.sent) == 1
+    world.submit("risky", "once")
+    assert len(world.transport.calls) == 1
     easy = changed_settings(world, once=replace(CLASSES["once"], effect=Effect.REPEATABLE))
-    for lives in range(3):  # also over files written anew
+    for lives in range(3):  # also after the journal was compacted
         world.settings = easy if lives < 2 else changed_settings(world, drop="once")
         world.kill()
         world.run(2_000)
-    assert not world.out.sent, "it may have run, and must not be sent again"
-    assert world.out.notices["risky"][0] == "failed"
+    assert not world.transport.calls, "it may have been executed, and must not be sent again"
+    assert world.transport.notifications["risky"][0] == "failed"
 
 
 def test_journal_class_tables_survive_compaction_while_they_are_needed(tmp_path: Path):
@@ -133,7 +133,7 @@
 def change(
     *path: str | int, value: object = None, drop: bool = False
 ) -> Callable[[dict[str, Any]], dict[str, Any]]:
-    """Return a function that sets or drops one value of a configuration."""
+    """Return a function that sets or removes one value of a configuration."""
 
     def apply(data: dict[str, Any]) -> dict[str, Any]:
         parent: Any = data
--- a/tests/test_crossings_calls.py
+++ b/tests/test_crossings_calls.py
@@ -1,4 +1,4 @@
-"""What crosses a call: its dial, its first and last byte, its answer, and the end of its message."""
+"""Races during a call: at its connect, first and last byte, response, and the end of its messages."""
 
 from __future__ import annotations
 
@@ -28,55 +28,63 @@
     found.close()
 
 
-class Crowded(Server):
-    """Its backlog is full: a dial comes up once there is room, and the system tries it again."""
+class FullBacklogServer(Server):
+    """A server with a full backlog: the kernel retries a connect until the server accepts."""
 
     def __init__(self) -> None:
         super().__init__(backlog=0, takes=False)
-        self.fill = socket.create_connection((HOST, self.port))
+        self.backlog_client = socket.create_connection((HOST, self.port))
 
-    def room(self) -> None:
+    def start_accepting(self) -> None:
         self.takes.set()
 
 
-def test_a_dial_that_comes_up_after_a_message_has_ended_carries_the_others(world: Loopback):
-    """It was sent on after its final answer, with the others of its call."""
+def test_connect_that_completes_after_a_message_returned_sends_only_the_other_messages(world: Loopback):
+    """Guards against sending a message after its final notification.
+
+    The message returns while the call's connection is still being established; the other messages of the call
+    are sent then.
+    """
     world.set(limits_connect_timeout_ns=30 * 10**9)
-    crowded = Crowded()
-    world.list_endpoint("s-1", crowded)
+    full_server = FullBacklogServer()
+    world.list_endpoint("s-1", full_server)
     try:
         world.start()
         client = world.client()
         client.send(submit("early", left=500) + submit("late-1") + submit("late-2"))
         assert [client.line() for _ in range(3)] == [b"+OK\r\n"] * 3
         world.ended("early", "returned")
-        assert not crowded.calls
-        crowded.room()
-        (call,) = world.calls(1, crowded)
+        assert not full_server.calls
+        full_server.start_accepting()
+        (call,) = world.calls(1, full_server)
         assert sorted(call.ids) == ["late-1", "late-2"]
         call.answer()
         world.take(submit("next"))
-        assert world.calls(2, crowded)[1].ids == ["next"], "nothing is left behind"
-        assert "early" not in crowded.begun()
+        assert world.calls(2, full_server)[1].ids == ["next"], "no message is left behind"
+        assert "early" not in full_server.begun()
     finally:
-        crowded.close()
+        full_server.close()
 
 
-def together(world: Loopback, *requests: bytes) -> None:
-    """Hand messages in so that they travel in one call."""
+def submit_together(world: Loopback, *requests: bytes) -> None:
+    """Submit messages in one write, so that they are sent in one call."""
     client = world.client()
     client.send(b"".join(requests))
     assert [client.line() for _ in requests] == [b"+OK\r\n"] * len(requests)
 
 
-def test_no_answer_is_waited_for_beyond_the_loss_of_a_message_of_its_call(world: Loopback):
-    """An endpoint that hung answered 300 ms after the time of one; the others were not counted."""
+def test_call_is_aborted_when_one_of_its_messages_returns(world: Loopback):
+    """Guards against waiting for the response of a call after one of its messages has returned.
+
+    A hanging endpoint responded 300 ms after the deadline of one message, and the delivery of the other
+    messages was not counted.
+    """
     world.start()
-    together(world, submit("brief", left=500), submit("other"))
+    submit_together(world, submit("brief", left=500), submit("other"))
     (call,) = world.calls(1)
     assert sorted(call.ids) == ["brief", "other"]
     world.ended("brief")
-    again = world.calls(2)[1]  # its connection is given up, and the other goes again
+    again = world.calls(2)[1]  # the connection is closed, and the other message is retried
     assert again.ids == ["other"] and not call.link.recv(1)
     again.answer()
     world.take(submit("next"))
@@ -94,17 +102,21 @@
     ],
 )
 @pytest.mark.parametrize("ends", ["reset", "closed", "silent"])
-def test_part_of_an_answer_ends_its_attempt_whatever_becomes_of_the_connection(
+def test_partial_response_completes_its_attempt_however_the_connection_ends(
     world: Loopback, part: bytes, ends: str
 ):
-    """A first line with 200 has delivered; anything else may have run, and only what may goes again."""
+    """Guards against a wrong outcome of a partial response.
+
+    A status line with 200 is a delivery. After any other partial response the message may have been executed,
+    and is retried only if its class allows it.
+    """
     world.start()
     before = world.descriptors()
     world.take(submit("once", "once"))
     (call,) = world.calls(1)
     call.write(part)
     if ends == "reset":
-        wait_for("it is read", lambda: unread(call.link) == 0)
+        wait_for("the response is read", lambda: unread_byte_count(call.link) == 0)
         reset(call.link)
     elif ends == "closed":
         call.link.shutdown(socket.SHUT_WR)
@@ -116,33 +128,33 @@
     assert world.endpoint.begun() == ["once", "plain"] and (
         part.startswith(b"HTTP/1.1 200") == (world.agent.ended("once") is None)
     )
-    wait_for("no descriptor is left", lambda: world.descriptors() <= before + 2)
+    wait_for("the descriptors are closed", lambda: world.descriptors() <= before + 2)
 
 
-# Guards against calls within a wait that was told in an answer which breaks off, or never ends.
+# Guards against calls during a backoff whose response is cut off or never ends.
 @pytest.mark.parametrize("ends", ["reset", "closed", "silent"])
-def test_a_wait_told_in_an_answer_that_does_not_end_is_heeded(world: Loopback, ends: str):
+def test_backoff_of_an_incomplete_response_is_respected(world: Loopback, ends: str):
     world.start()
     world.take(submit("first"))
     (call,) = world.calls(1)
     call.write(b"HTTP/1.1 429 x\r\nX-RateLimit-Wait-Ms: 1500\r\nContent-Length: 5\r\n\r\nab")
-    told_at = time.monotonic()
-    wait_for("it is read", lambda: unread(call.link) == 0)
+    response_at = time.monotonic()
+    wait_for("the response is read", lambda: unread_byte_count(call.link) == 0)
     if ends == "reset":
         reset(call.link)
     elif ends == "closed":
         call.link.shutdown(socket.SHUT_WR)
     world.take(submit("second"))
     world.calls(2)
-    assert time.monotonic() > told_at + 1.4  # calls within 100 ms of an end of the wait are let through
+    assert time.monotonic() > response_at + 1.4  # calls may start up to 100 ms before the backoff ends
 
 
-def unread(link: socket.socket) -> int:
-    """Bytes sent on a connection that its other side has not taken yet."""
+def unread_byte_count(link: socket.socket) -> int:
+    """Return the number of sent bytes that the peer has not read yet."""
     return struct.unpack("i", fcntl.ioctl(link.fileno(), termios.TIOCOUTQ, b"\0" * 4))[0]
 
 
-def test_noise_behind_a_good_answer_ends_its_connection_and_no_other_message(world: Loopback):
+def test_surplus_bytes_after_a_response_close_the_connection_and_affect_no_other_message(world: Loopback):
     world.start()
     world.take(submit("first"))
     (call,) = world.calls(1)
@@ -155,14 +167,14 @@
 
 
 @pytest.mark.parametrize("how", ["closed", "reset"])
-def test_a_connection_that_its_endpoint_ends_at_rest_loses_no_message(world: Loopback, how: str):
-    """Whether the end has come before the next call or crosses with it."""
+def test_idle_connection_closed_by_its_endpoint_loses_no_message(world: Loopback, how: str):
+    """The close may be read before the next call, or arrive while that call is sent."""
     world.start()
     for turn in range(8):
         world.take(submit(f"a{turn}"))
         call = world.calls(2 * turn + 1)[2 * turn]
         call.answer()
-        wait_for("it is read", lambda call=call: unread(call.link) == 0)
+        wait_for("the response is read", lambda call=call: unread_byte_count(call.link) == 0)
         if how == "closed":
             call.link.close()
         else:
@@ -172,7 +184,7 @@
     assert world.endpoint.begun() == [f"{x}{turn}" for turn in range(8) for x in "ab"]
 
 
-def test_a_reset_long_after_a_request_began_lets_what_may_run_once_only_fail(world: Loopback):
+def test_reset_long_after_the_request_fails_a_message_that_may_run_only_once(world: Loopback):
     world.start()
     world.take(submit("once", "once"))
     (call,) = world.calls(1)
@@ -186,7 +198,7 @@
 
 
 def attempt_is_recorded(world: Loopback, message_id: str) -> bool:
-    """Return whether the journal of a courier that was killed holds an attempt of a message."""
+    """Return whether the journal of a killed courier records an attempt of a message."""
     copy = world.folder / "state after the kill"
     shutil.copytree(world.folder / "state", copy)
     journal = Journal(copy, JOURNAL_LIMIT_BYTES)
@@ -196,7 +208,7 @@
 
 
 @pytest.mark.parametrize("cls", ["plain", "once", "keyed"])
-def test_a_kill_right_behind_the_answer_that_takes_a_message_on_loses_nothing(world: Loopback, cls: str):
+def test_kill_right_after_the_reply_to_a_submit_loses_no_message(world: Loopback, cls: str):
     world.start()
     client = world.client()
     assert client.ask(submit("taken", cls, key=5)) == b"+OK\r\n"
@@ -207,14 +219,14 @@
     assert has_started or not tried, "an attempt is recorded before its first byte"
     world.start()
     if has_started and cls == "once":
-        world.ended("taken", "failed")  # its call may have run, whether or not the endpoint has read it
+        world.ended("taken", "failed")  # the call may have been executed, read or not
         assert len(world.endpoint.calls) <= 1
     else:
         wait_for("it is delivered", lambda: len(world.endpoint.calls) > tried)
 
 
 @pytest.mark.parametrize("cls", ["plain", "once", "keyed"])
-def test_a_call_whose_last_byte_was_out_at_a_kill_goes_again_only_if_its_class_may(world: Loopback, cls: str):
+def test_call_written_before_a_kill_is_retried_only_if_its_class_allows_it(world: Loopback, cls: str):
     world.start()
     world.take(submit("tried", cls, key=5, token="beef"))
     (call,) = world.calls(1)
@@ -229,26 +241,29 @@
         again.answer()
 
 
-def test_a_call_that_waits_for_its_connection_at_a_kill_may_have_run_and_is_told(world: Loopback):
-    """Its start is in the journal, its first byte never was out: what may run once only is not risked."""
-    crowded = Crowded()
-    world.list_endpoint("s-1", crowded)
+def test_call_waiting_for_its_connection_at_a_kill_fails_a_message_allowed_to_run_once(world: Loopback):
+    """Guards against a second execution of a message that may run only once.
+
+    The journal records the start of the attempt, but not that no byte was sent.
+    """
+    full_server = FullBacklogServer()
+    world.list_endpoint("s-1", full_server)
     world.set(limits_connect_timeout_ns=30 * 10**9)
     try:
         world.start()
         world.take(submit("once", "once"), submit("plain"))
-        wait_for("both are begun", lambda: "'plain', 1" in world.log())
+        wait_for("both attempts have started", lambda: "'plain', 1" in world.log())
         world.kill()
-        crowded.room()
+        full_server.start_accepting()
         world.start()
         world.ended("once", "failed")
-        assert world.calls(1, crowded)[0].ids == ["plain"]
+        assert world.calls(1, full_server)[0].ids == ["plain"]
     finally:
-        crowded.close()
+        full_server.close()
 
 
-def test_a_keyed_repeat_goes_within_its_window_of_a_second_and_never_behind_it(tmp_path: Path):
-    """Across restarts too: a repeat that comes after the window would run a second time."""
+def test_retry_of_a_keyed_message_is_sent_within_its_one_second_window_and_never_later(tmp_path: Path):
+    """Also after a restart: the endpoint would execute a retry after the window a second time."""
     window = message_class("keyed", "by_key", window_ns=10**9, group="all", in_order=True)
     for late in (False, True):
         (tmp_path / str(late)).mkdir()
@@ -259,94 +274,97 @@
             began = time.monotonic()
             (call,) = world.calls(1)
             if late:
-                world.ended("first")  # no answer within its window: it is given up
+                world.ended("first")  # no response within the window: it fails
                 assert len(world.endpoint.calls) == 1
             else:
                 call.answer(500)
                 again = world.calls(2)[1]
                 assert time.monotonic() - began < 1.0
                 again.answer()
-                wait_for("its answer is read", lambda w=world: "['delivered']" in w.log())
+                wait_for("the response is read", lambda w=world: "['delivered']" in w.log())
             world.kill()
             world.start()
             world.take(submit("second", "keyed", key=3))
-            wait_for("the next of the key", lambda w=world: "second" in w.endpoint.begun())
+            wait_for("the next message of the key is sent", lambda w=world: "second" in w.endpoint.begun())
             assert world.endpoint.begun().count("first") == (1 if late else 2)
         finally:
             world.close()
 
 
-def test_a_dial_that_comes_up_after_its_endpoint_drains_carries_nothing(world: Loopback):
-    crowded, other = Crowded(), Server()
+def test_connect_that_completes_after_its_endpoint_drains_sends_no_message(world: Loopback):
+    full_server, other = FullBacklogServer(), Server()
     other.on_call = lambda call: call.answer()
-    world.list_endpoint("s-1", crowded)
+    world.list_endpoint("s-1", full_server)
     world.set(limits_connect_timeout_ns=30 * 10**9)
     try:
         world.start()
-        wait_for("the watch", lambda: world.agent.watches)
+        wait_for("the watch is open", lambda: world.agent.watches)
         world.take(submit("moved", "once"))
-        wait_for("it is begun", lambda: "'moved', 1" in world.log())
+        wait_for("the attempt has started", lambda: "'moved', 1" in world.log())
         watch = world.agent.watches[-1]
         world.agent.chunk(watch, world.agent.change("s-1", health="draining"))
         world.agent.chunk(watch, world.list_endpoint("s-2", other))
-        assert world.calls(1, other)[0].ids == ["moved"], "it has not run, and may go elsewhere"
-        crowded.room()
+        assert world.calls(1, other)[0].ids == ["moved"], "it was not sent, and may use another endpoint"
+        full_server.start_accepting()
         world.take(submit("next"))
         world.calls(2, other)
-        assert not crowded.calls
+        assert not full_server.calls
     finally:
-        crowded.close()
+        full_server.close()
         other.close()
 
 
 @pytest.mark.parametrize("cls", ["plain", "once", "keyed"])
-def test_a_call_that_waits_for_its_connection_at_a_stop_is_tried_by_the_next_life(world: Loopback, cls: str):
-    """It counted as one that may have run: what may run once only was given up without a call."""
-    crowded = Crowded()
-    world.list_endpoint("s-1", crowded)
+def test_call_waiting_for_its_connection_at_a_stop_is_sent_after_the_restart(world: Loopback, cls: str):
+    """Guards against treating an attempt that was never sent as possibly executed.
+
+    A message that may run only once failed without a call.
+    """
+    full_server = FullBacklogServer()
+    world.list_endpoint("s-1", full_server)
     world.set(limits_connect_timeout_ns=30 * 10**9)
     try:
         world.start()
         world.take(submit("waits", cls, key=2))
-        wait_for("it is begun", lambda: "'waits', 1" in world.log())
+        wait_for("the attempt has started", lambda: "'waits', 1" in world.log())
         world.signal(signal.SIGTERM)
-        assert world.end() == 0 and not crowded.calls
-        crowded.room()
+        assert world.end() == 0 and not full_server.calls
+        full_server.start_accepting()
         world.start()
-        assert world.calls(1, crowded)[0].ids == ["waits"]
+        assert world.calls(1, full_server)[0].ids == ["waits"]
     finally:
-        crowded.close()
+        full_server.close()
 
 
-def test_what_a_stop_leaves_untried_is_tried_by_the_next_life(world: Loopback):
+def test_messages_undelivered_at_a_stop_are_sent_after_the_restart(world: Loopback):
     world.start()
     world.take(submit("first", "keyed", key=6, token="aa"), submit("second", "keyed", key=6))
     world.calls(1)
     world.signal(signal.SIGTERM)
-    assert world.end() == 0  # its call was not answered; the next had not begun
+    assert world.end() == 0  # the first call has no response; the second message was not sent
     world.endpoint.on_call = lambda call: call.answer()
     world.start()
-    wait_for("both are delivered", lambda: world.endpoint.begun() == ["first", "first", "second"])
+    wait_for("both messages are delivered", lambda: world.endpoint.begun() == ["first", "first", "second"])
     assert world.endpoint.calls[1].headers["idempotency-key"] == "aa"
 
 
 @pytest.mark.parametrize("how", [signal.SIGTERM, signal.SIGKILL])
-def test_a_notice_that_was_not_answered_is_told_by_the_next_life(world: Loopback, how: signal.Signals):
-    usual, world.agent.on_notice = world.agent.on_notice, lambda call: None
+def test_unacknowledged_notification_is_sent_again_after_the_restart(world: Loopback, how: signal.Signals):
+    default_handler, world.agent.on_notice = world.agent.on_notice, lambda call: None
     world.start()
     world.take(submit("brief", left=300))
     world.ended("brief")
     world.signal(how)
     world.end()
     world.agent.notices.clear()
-    world.agent.on_notice = usual
+    world.agent.on_notice = default_handler
     world.start()
     world.ended("brief")
     world.take(submit("other", left=300))
-    world.ended("other")  # one request at a time: the one before has its answer
+    world.ended("other")  # one request at a time: the previous one is acknowledged
     world.kill()
     world.agent.notices.clear()
     world.start()
     world.take(submit("next", left=300))
     world.ended("next")
-    assert world.agent.ended("brief") is None, "it was heard, and is owed no more"
+    assert world.agent.ended("brief") is None, "an acknowledged notification is not sent again"
--- a/tests/test_dead_letters_archiver.py
+++ b/tests/test_dead_letters_archiver.py
@@ -1,4 +1,4 @@
-"""The move of an ended message from the journal to the store, stopped at each of its steps."""
+"""Moves undelivered messages from the journal to the store, with a crash after each step."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def assert_archived_once(courier: ArchivingCourier) -> None:
-    """Assert that it is in the store, once, with its history, and not in the journal any more."""
+    """Assert that the message is stored once, with its history, and completed in the journal."""
     (dead_letter,) = courier.stored()
     assert (dead_letter.id, dead_letter.body, dead_letter.execution_evidence, dead_letter.final_state) == (
         "a",
@@ -38,13 +38,13 @@
         dead_letter.failure_history.reason == "out of time"
         and dead_letter.failure_history.attempts[0].outcome == "error"
     )
-    assert courier.world.open() == []
+    assert courier.world.open_ids() == []
 
 
 def test_archiver_acknowledged_message_is_stored_with_its_history(tmp_path: Path):
     courier = ArchivingCourier(tmp_path)
     courier.fail_message()
-    assert courier.world.open() == ["a"] and not courier.stored(), (
+    assert courier.world.open_ids() == ["a"] and not courier.stored(), (
         "its notification has not been acknowledged"
     )
     courier.acknowledge_notification()
@@ -56,18 +56,18 @@
 
 def test_archiver_delivered_message_is_not_stored(tmp_path: Path):
     courier = ArchivingCourier(tmp_path)
-    courier.world.put("a")
-    courier.world.out.sent[0].end(OK)
+    courier.world.submit("a")
+    courier.world.transport.calls[0].end(OK)
     courier.world.run()
     courier.archivers[0].close()
-    assert not courier.stored() and courier.world.open() == []
+    assert not courier.stored() and courier.world.open_ids() == []
 
 
 def test_archiver_crash_before_acknowledgement_notifies_again_and_stores_then(tmp_path: Path):
     courier = ArchivingCourier(tmp_path)
     courier.fail_message()
     courier.restart()
-    assert courier.world.open() == ["a"] and list(courier.world.out.notices) == ["a"]
+    assert courier.world.open_ids() == ["a"] and list(courier.world.transport.notifications) == ["a"]
     courier.acknowledge_notification()
     courier.loop.run_calls(2)
     assert_archived_once(courier)
@@ -77,7 +77,7 @@
     courier = ArchivingCourier(tmp_path, StalledArchiver)
     courier.fail_message()
     courier.acknowledge_notification()
-    assert courier.world.open() == ["a"] and not courier.stored()
+    assert courier.world.open_ids() == ["a"] and not courier.stored()
     courier.restart()
     courier.acknowledge_notification()
     courier.loop.run_calls(2)
@@ -88,11 +88,11 @@
     courier = ArchivingCourier(tmp_path)
     courier.fail_message()
     courier.acknowledge_notification()
-    call = courier.loop.calls.get(timeout=TIMEOUT_SECONDS)  # committed; the journal never records it
-    assert call is not None and courier.world.open() == ["a"] and len(courier.stored()) == 1
+    call = courier.loop.calls.get(timeout=TIMEOUT_SECONDS)  # committed, but never completed in the journal
+    assert call is not None and courier.world.open_ids() == ["a"] and len(courier.stored()) == 1
     courier.restart()
     assert_archived_once(courier)
-    assert not courier.world.out.notices, "its notification had been acknowledged"
+    assert not courier.world.transport.notifications, "its notification had been acknowledged"
 
 
 def test_archiver_payment_that_may_have_run_stays_on_hold_after_a_restart(tmp_path: Path):
@@ -111,7 +111,7 @@
 
 def test_archiver_attempts_before_a_restart_are_counted_as_unrecorded(tmp_path: Path):
     courier = ArchivingCourier(tmp_path)
-    courier.world.put("a", left=3_000.0)
+    courier.world.submit("a", left=3_000.0)
     courier.restart()
     courier.world.run(3_100)
     courier.acknowledge_notification()
@@ -139,10 +139,10 @@
         courier.fail_message(name)
         courier.acknowledge_notification(name)
         courier.loop.run_calls(2)
-    assert courier.world.open() == [] and courier.archivers[-1].unstored_count == 2
+    assert courier.world.open_ids() == [] and courier.archivers[-1].unstored_count == 2
 
 
-def test_archiver_stalled_thread_bounds_what_waits(tmp_path: Path):
+def test_archiver_stalled_thread_bounds_its_queue(tmp_path: Path):
     courier = ArchivingCourier(tmp_path, StalledArchiver, max_held=60)
     archiver = courier.archivers[0]
     courier.fail_message()
@@ -152,20 +152,24 @@
     for number in range(100):
         archiver.archive(entry, lambda n=number: done.append(n))  # type: ignore[misc]
     assert 0 < len(done) < 60 and archiver.unstored_count == len(done), (
-        "what does not fit is completed at once"
+        "messages beyond the bound are completed at once"
     )
 
 
-def test_journal_without_room_for_the_history_records_the_notification(tmp_path: Path):
+def test_journal_without_space_for_the_history_records_the_notification(tmp_path: Path):
     journal = Journal(tmp_path, 4_000)
     number = journal.accept("a", "safe", None, 1, 1.0, "", b"a")
-    journal.record_notification_owed(number, "returned", 500, {"reason": "x" * 5_000})
+    journal.record_notification_pending(number, "returned", 500, {"reason": "x" * 5_000})
     journal.close()
     (entry,) = Journal(tmp_path, 4_000).open_messages
-    assert (entry.owed_notification, entry.retry_after_ms, entry.failure_history) == ("returned", 500, None)
+    assert (entry.pending_notification, entry.retry_after_ms, entry.failure_history) == (
+        "returned",
+        500,
+        None,
+    )
 
 
-def test_courier_process_stores_what_it_could_not_deliver(tmp_path: Path, partner: ThreadingHTTPServer):
+def test_courier_process_stores_an_undelivered_message(tmp_path: Path, partner: ThreadingHTTPServer):
     directory = tmp_path / "kept"
     directory.mkdir()
     port = free_port()
@@ -185,7 +189,7 @@
             finally:
                 store.close()
 
-        wait_for("the message is kept", found)
+        wait_for("the message is stored", found)
         (dead_letter,) = found()
         assert (dead_letter.body, dead_letter.execution_evidence, dead_letter.failure_history.reason) == (
             b"nobody there",
--- a/tests/test_dead_letters_audit_log.py
+++ b/tests/test_dead_letters_audit_log.py
@@ -1,4 +1,4 @@
-"""The audit log: its chain of hashes, its bound, and what tampering shows."""
+"""The audit log: its hash chain, its bound, and the detection of tampering."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     assert "the trail is broken at entry" in run_command(tmp_path, "trail", code=2)
 
 
-def test_audit_log_beyond_its_bound_is_trimmed_and_vouched_for(tmp_path: Path):
+def test_audit_log_beyond_its_bound_is_trimmed_with_a_trim_entry(tmp_path: Path):
     path = make_audited_store(tmp_path, 100)
     store = DeadLetterStore(path, BOUNDS, read_only=True)
     found = store.read_audit_log()
@@ -80,12 +80,12 @@
         "DELETE FROM trail WHERE seq = (SELECT min(seq) FROM trail)",
         "UPDATE trail_start SET seq = seq + 1",
         "UPDATE trail_start SET hash = x'00'",
-        # The first entries are cut off, and the beginning is moved so that the chain holds.
+        # Deletes the first entries, and moves the start so that the hashes of the rest still match.
         "UPDATE trail_start SET (seq, hash) = (SELECT seq, hash FROM trail WHERE seq = trail_start.seq + 3);"
         "DELETE FROM trail WHERE seq <= (SELECT seq FROM trail_start)",
     ],
 )
-def test_audit_log_beginning_without_a_voucher_is_broken(tmp_path: Path, tampering: str):
+def test_audit_log_start_without_a_trim_entry_is_broken(tmp_path: Path, tampering: str):
     path = make_audited_store(tmp_path, 100)
     with sqlite3.connect(path) as db:
         db.executescript(tampering)
@@ -97,7 +97,7 @@
     with sqlite3.connect(path) as db:
         db.executescript("DROP TABLE trail_start; PRAGMA user_version = 1;")
     before = DeadLetterStore(path, BOUNDS, read_only=True).read_audit_log()
-    assert len(before.entries) == 8, "tools read it as it is"
+    assert len(before.entries) == 8, "read-only tools read the old schema"
     store = DeadLetterStore(path, StoreBounds(audit_entry_count=10))
     store.update(1, DeadLetterState.PENDING, action=AuditedAction(9.0, "operator-2", "resend"))
     assert store.read_audit_log().entries[:8] == before.entries and len(store.read_audit_log().entries) == 9
--- a/tests/test_dead_letters_evidence.py
+++ b/tests/test_dead_letters_evidence.py
@@ -1,4 +1,4 @@
-"""What is proved of a message: why it ended, whether it was executed, whether a repeat is safe."""
+"""The failure reason of a message, the evidence of its execution, and the safety of a repeat."""
 
 from __future__ import annotations
 
@@ -47,8 +47,8 @@
         ({}, "no room"),
     ],
 )
-def test_end_reason_names_the_first_cause_that_applies(changes: dict[str, Any], reason: str):
-    plain = {
+def test_failure_reason_names_the_first_cause_that_applies(changes: dict[str, Any], reason: str):
+    default_context = {
         "now_ms": NOW_MS,
         "deadline_ms": NOW_MS + 9_000,
         "attempt_count": 1,
@@ -57,7 +57,7 @@
         "message_class": CLASSES["pay"],
         "grace_ms": 50.0,
     }
-    assert reason in evidence.failure_reason(evidence.FailureContext(**(plain | changes)))
+    assert reason in evidence.failure_reason(evidence.FailureContext(**(default_context | changes)))
 
 
 @pytest.mark.parametrize(
@@ -83,7 +83,9 @@
         return evidence.redelivery_objection(NOW_MS, replace(dead_letter, **changes), message_class)
 
     assert (objection() is None) is is_safe
-    assert objection(release_statement="operator-1: seen") is None, "an operator has signed"
+    assert objection(release_statement="operator-1: seen") is None, (
+        "an operator has confirmed that it was not executed"
+    )
     ran = objection(execution_evidence=ExecutionEvidence.RAN, release_statement="operator-1: seen")
-    assert ran is not None, "and can't sign this away"
+    assert ran is not None, "a confirmation does not override a proved execution"
     assert objection(execution_evidence=ExecutionEvidence.NEVER_RAN, first_run_unix_ms=None) is None
--- a/tests/test_dead_letters_operator_actions.py
+++ b/tests/test_dead_letters_operator_actions.py
@@ -1,4 +1,4 @@
-"""Operators' actions and partners' reports, by command."""
+"""Commands for operators' actions and partners' reports."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from .dead_letter_helpers import RedeliveringCourier, run_command
 
 
-def test_release_payment_that_may_have_run_is_sent_only_once_signed(tmp_path: Path):
+def test_release_payment_that_may_have_run_is_sent_only_after_confirmation(tmp_path: Path):
     courier = RedeliveringCourier(tmp_path)
     courier.archive_message(class_name="keyed")
-    run_command(tmp_path, "resend", "1")  # asking is not enough
+    run_command(tmp_path, "resend", "1")  # an approval alone is not enough
     courier.run_redelivery_round()
-    assert courier.states() == [DeadLetterState.ON_HOLD] and courier.world.open() == []
+    assert courier.states() == [DeadLetterState.ON_HOLD] and courier.world.open_ids() == []
     assert run_command(tmp_path, "release", "1", code=2).count("--why") >= 1
-    signed = ("release", "1", "--who", "operator-1", "--why", "the partner says it never came")
-    run_command(tmp_path, *signed, "--dry-run")
+    release = ("release", "1", "--who", "operator-1", "--why", "the partner says it never came")
+    run_command(tmp_path, *release, "--dry-run")
     assert courier.states() == [DeadLetterState.ON_HOLD]
-    run_command(tmp_path, *signed)
+    run_command(tmp_path, *release)
     assert courier.stored()[0].release_statement == "operator-1: the partner says it never came"
     courier.run_redelivery_round()
-    assert courier.world.open() == ["a"]
+    assert courier.world.open_ids() == ["a"]
     courier.deliver_latest()
     assert courier.states() == [DeadLetterState.DELIVERED]
     assert "operator-1: release message 1: the partner says it never came" in run_command(tmp_path, "trail")
@@ -37,7 +37,7 @@
     courier.archive_message(class_name="keyed")
     run_command(tmp_path, "release", "1", "--why", "it never came")
     courier.run_redelivery_round()
-    courier.world.out.sent[-1].end(AttemptResult(Outcome.TIMEOUT))
+    courier.world.transport.calls[-1].end(AttemptResult(Outcome.TIMEOUT))
     for _ in range(250):
         courier.world.run(100)
     courier.loop.run_calls(2)
@@ -64,7 +64,9 @@
     ]
     report.write_text("a never\n")
     run_command(tmp_path, "report", str(report), code=1)
-    assert courier.stored()[0].execution_evidence is ExecutionEvidence.RAN, "what has run can't be unsaid"
+    assert courier.stored()[0].execution_evidence is ExecutionEvidence.RAN, (
+        "a later report does not revoke an execution"
+    )
     report.write_text("a perhaps\n")
     assert "line 1: expected a name" in run_command(tmp_path, "report", str(report), code=2)
 
@@ -88,31 +90,34 @@
     run_command(tmp_path, "drop", "2", "--why", "nobody wants it")
     courier.run_redelivery_round()
     assert (
-        courier.states() == [DeadLetterState.ON_HOLD, DeadLetterState.DROPPED] and courier.world.open() == []
+        courier.states() == [DeadLetterState.ON_HOLD, DeadLetterState.DROPPED]
+        and courier.world.open_ids() == []
     )
 
 
 def test_import_of_an_export_is_stored_on_hold(tmp_path: Path):
     (tmp_path / "a").mkdir()
     (tmp_path / "b").mkdir()
-    one, two = RedeliveringCourier(tmp_path / "a"), RedeliveringCourier(tmp_path / "b")
-    one.archive_message()
-    two.archive_message("b")
-    out = str(tmp_path / "out.jsonl")
-    run_command(tmp_path / "a", "export", out)
-    assert "would keep 1 of 1" in run_command(tmp_path / "b", "import", out, "--dry-run")
+    source, target = RedeliveringCourier(tmp_path / "a"), RedeliveringCourier(tmp_path / "b")
+    source.archive_message()
+    target.archive_message("b")
+    export_path = str(tmp_path / "out.jsonl")
+    run_command(tmp_path / "a", "export", export_path)
+    assert "would keep 1 of 1" in run_command(tmp_path / "b", "import", export_path, "--dry-run")
     for count in (1, 0):
-        assert f"kept {count} of 1" in run_command(tmp_path / "b", "import", out, "--who", "operator-1")
-    dead_letter = two.stored()[1]
+        assert f"kept {count} of 1" in run_command(
+            tmp_path / "b", "import", export_path, "--who", "operator-1"
+        )
+    dead_letter = target.stored()[1]
     assert (dead_letter.id, dead_letter.body, dead_letter.state, dead_letter.failure_history) == (
         "a",
         b"a",
         DeadLetterState.ON_HOLD,
-        one.stored()[0].failure_history,
+        source.stored()[0].failure_history,
     )
     assert "operator-1: import message 2: out.jsonl" in run_command(tmp_path / "b", "trail")
-    Path(out).write_text('{"id": 3}\n')
-    assert "message 1 of out.jsonl" in run_command(tmp_path / "b", "import", out, code=2)
+    Path(export_path).write_text('{"id": 3}\n')
+    assert "message 1 of out.jsonl" in run_command(tmp_path / "b", "import", export_path, code=2)
 
 
 def test_import_message_exported_while_redelivering_may_have_run(tmp_path: Path):
--- a/tests/test_dead_letters_policy.py
+++ b/tests/test_dead_letters_policy.py
@@ -1,4 +1,4 @@
-"""What the operator's rules allow, when, and how fast."""
+"""The decisions of the operator's rules: which messages, when, and at which rate."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "fits"),
+    ("changes", "is_match"),
     [
         ({}, True),
         ({"class_names": ("pay",)}, False),
@@ -64,9 +64,9 @@
         ({"evidence": (ExecutionEvidence.MAY_HAVE_RUN,)}, False),
     ],
 )
-def test_rule_matches_only_what_it_names(changes: dict[str, Any], fits: bool):
+def test_rule_matches_only_what_it_names(changes: dict[str, Any], is_match: bool):
     found = decide(make_dead_letter(), replace(ANY, **changes)).action
-    assert found is (RedeliveryAction.SEND if fits else RedeliveryAction.SKIP)
+    assert found is (RedeliveryAction.SEND if is_match else RedeliveryAction.SKIP)
 
 
 def test_rule_limits_of_time_and_number_apply():
@@ -92,29 +92,29 @@
 @options(derandomize=True, deadline=None, max_examples=200)
 @given(st.floats(0, 24), st.floats(0, 24), st.floats(0, 240))
 def test_rule_hours_open_at_their_first_hour(first: float, last: float, hour: float):
-    one = replace(ANY, hours_utc=(first, last))
+    rule = replace(ANY, hours_utc=(first, last))
     now = NOW_MS - NOW_MS % (24 * HOUR_MS) + hour * HOUR_MS
-    at = one.next_open_unix_ms(now)
+    at = rule.next_open_unix_ms(now)
     assert now <= at <= now + 24 * HOUR_MS
     if first != last and at > now:
         assert abs((at / HOUR_MS) % 24 - first % 24) < 1e-3 or abs((at / HOUR_MS) % 24 - first % 24) > 23.99
 
 
 def test_rate_clock_set_back_does_not_stop_the_rule():
-    rate, one = RedeliveryRateLimiter(), replace(ANY, rate=2.0)
+    rate, slow = RedeliveryRateLimiter(), replace(ANY, rate=2.0)
     sent = []
     for step in range(100):
-        if rate.may_send(NOW_MS + step * 50, one):
-            rate.record_sent(NOW_MS + step * 50, one)
+        if rate.may_send(NOW_MS + step * 50, slow):
+            rate.record_sent(NOW_MS + step * 50, slow)
             sent.append(step * 50)
     assert sent == list(range(0, 5_000, 500))
-    assert not rate.may_send(NOW_MS + 4_950, one) and rate.may_send(NOW_MS - HOUR_MS, one)
+    assert not rate.may_send(NOW_MS + 4_950, slow) and rate.may_send(NOW_MS - HOUR_MS, slow)
     fast, found = replace(ANY, rate=20.0), 0
     for round_number in range(10):
         while rate.may_send(NOW_MS + round_number * 500, fast):
             rate.record_sent(NOW_MS + round_number * 500, fast)
             found += 1
-    assert 95 <= found <= 101, "ten rounds make five seconds"
+    assert 95 <= found <= 101, "ten rounds take five seconds"
 
 
 @options(derandomize=True, deadline=None, max_examples=300)
@@ -126,7 +126,7 @@
     st.booleans(),
     st.integers(0, 5),
 )
-def test_policy_any_message_is_never_sent_to_a_second_effect(
+def test_policy_never_sends_a_message_that_could_have_a_second_effect(
     class_name: str,
     ran: ExecutionEvidence,
     state: DeadLetterState,
--- a/tests/test_dead_letters_queries.py
+++ b/tests/test_dead_letters_queries.py
@@ -1,4 +1,4 @@
-"""Commands on the store: what they return as text and as JSON."""
+"""Commands on the store: their results as text and as JSON."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 )
 
 
-def test_commands_on_the_file_return_what_is_stored(tmp_path: Path):
+def test_commands_on_the_file_return_the_stored_messages(tmp_path: Path):
     courier = ArchivingCourier(tmp_path)
     courier.fail_message()
     courier.acknowledge_notification()
--- a/tests/test_dead_letters_record_codec.py
+++ b/tests/test_dead_letters_record_codec.py
@@ -1,4 +1,4 @@
-"""The encoded names of failure histories and dead letters, which every version has to read."""
+"""The encoded names of failure histories and dead letters, which every version must read."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     assert json.dumps(encoded | {"attempts": list(encoded["attempts"])}) == json.dumps(ENCODED_HISTORY)
 
 
-def test_failure_history_decoded_is_what_was_encoded():
+def test_failure_history_round_trip_keeps_every_field():
     assert decode_failure_history(encode_failure_history(HISTORY)) == HISTORY
     assert failure_history_from_json(ENCODED_HISTORY) == HISTORY
 
@@ -61,7 +61,7 @@
     assert destination_snapshot({}) == DestinationSnapshot()
 
 
-def test_dead_letter_decoded_is_what_was_encoded():
+def test_dead_letter_round_trip_keeps_every_field():
     dead_letter = make_dead_letter(
         number=3, redelivery_count=2, note="x", is_approved=True, release_statement="operator-1: seen"
     )
--- a/tests/test_dead_letters_store.py
+++ b/tests/test_dead_letters_store.py
@@ -1,4 +1,4 @@
-"""The SQLite file: what it returns, two writers, damage, kills, and a model of it."""
+"""The store's SQLite file: queries, concurrent writers, damage, killed processes, and a model test."""
 
 from __future__ import annotations
 
@@ -73,18 +73,20 @@
 
 
 def test_store_two_updates_of_one_state_only_the_first_succeeds(path: Path):
-    one, two = DeadLetterStore(path, BOUNDS, has_effect), DeadLetterStore(path, BOUNDS, has_effect)
-    one.add([make_dead_letter()], NOW_MS)
-    assert one.update(1, DeadLetterState.PENDING, state=DeadLetterState.REDELIVERING, redelivery_count=1)
-    assert not two.update(1, DeadLetterState.PENDING, state=DeadLetterState.REDELIVERING, redelivery_count=1)
-    assert two.get(1) == replace(
+    first, second = DeadLetterStore(path, BOUNDS, has_effect), DeadLetterStore(path, BOUNDS, has_effect)
+    first.add([make_dead_letter()], NOW_MS)
+    assert first.update(1, DeadLetterState.PENDING, state=DeadLetterState.REDELIVERING, redelivery_count=1)
+    assert not second.update(
+        1, DeadLetterState.PENDING, state=DeadLetterState.REDELIVERING, redelivery_count=1
+    )
+    assert second.get(1) == replace(
         make_dead_letter(), number=1, state=DeadLetterState.REDELIVERING, redelivery_count=1
     )
-    assert not two.update(2, DeadLetterState.PENDING, note="there is none")
+    assert not second.update(2, DeadLetterState.PENDING, note="there is none")
 
 
 @pytest.mark.parametrize("damage", ["cut", "scrambled", "empty head"])
-def test_open_or_replace_damaged_file_is_set_aside(path: Path, damage: str):
+def test_open_or_replace_damaged_file_is_renamed(path: Path, damage: str):
     store = DeadLetterStore(path, BOUNDS, has_effect)
     store.add([make_dead_letter(n, body=bytes(3_000)) for n in range(200)], NOW_MS)
     store.close()
@@ -102,11 +104,11 @@
     assert fresh.count(DeadLetterFilter()) == 1
 
 
-def test_open_or_replace_later_version_or_foreign_file_is_left_alone(path: Path):
+def test_open_or_replace_later_version_or_foreign_file_stays_unchanged(path: Path):
     DeadLetterStore(path, BOUNDS, has_effect).close()
     with sqlite3.connect(path) as db:
         db.execute("PRAGMA user_version = 99")
-    with pytest.raises(DeadLetterStoreError, match="version 99; this program knows 2"):
+    with pytest.raises(DeadLetterStoreError, match="version 99; expected at most 2"):
         open_or_replace(path, BOUNDS, has_effect, NOW_MS)
     other = path.with_name("other")
     with sqlite3.connect(other) as db:
@@ -117,7 +119,7 @@
         DeadLetterStore(path.with_name("none"), BOUNDS, read_only=True)
 
 
-def test_store_disk_full_during_a_change_leaves_it_as_it_was(tmp_path: Path):
+def test_store_disk_full_during_a_change_rolls_it_back(tmp_path: Path):
     store = DeadLetterStore(tmp_path / "x", BOUNDS)
     dead_letter = DeadLetter(
         "a",
@@ -176,7 +178,7 @@
     process.stdout.close()
     store = DeadLetterStore(path, BOUNDS, has_effect)
     found = {dead_letter.id: dead_letter for dead_letter in store.find(DeadLetterFilter(), 10**6)}
-    assert len(found) % 2 == 0 and len(found) >= 2 * printed, "both messages of a call, or neither"
+    assert len(found) % 2 == 0 and len(found) >= 2 * printed, "each call stores both messages or neither"
     for n in range(1, printed + 1):
         assert (
             found[f"m{2 * n}"].state is DeadLetterState.ON_HOLD
@@ -191,7 +193,7 @@
 
 
 class StoreStateMachine(RuleBasedStateMachine):
-    """The store against a plain dictionary that evicts by rank and age."""
+    """Compares the store with a dictionary that evicts by rank and age."""
 
     COUNT = 6
 
@@ -232,9 +234,9 @@
     )
     def update(self, data: st.DataObject, state: DeadLetterState, expected: DeadLetterState) -> None:
         number = data.draw(st.sampled_from(sorted(self.model) or [99]))
-        fits = number in self.model and self.model[number].state is expected
-        assert self.store.update(number, expected, state=state, note="changed") is fits
-        if fits:
+        is_match = number in self.model and self.model[number].state is expected
+        assert self.store.update(number, expected, state=state, note="changed") is is_match
+        if is_match:
             self.model[number] = replace(self.model[number], state=state, note="changed")
 
     def teardown(self) -> None:
--- a/tests/test_dead_letters_store_eviction.py
+++ b/tests/test_dead_letters_store_eviction.py
@@ -1,4 +1,4 @@
-"""A store that is full loses what is safest to lose."""
+"""A full store evicts the messages that are safest to lose."""
 
 from __future__ import annotations
 
@@ -50,12 +50,12 @@
     for n in range(1, 400):
         store.add([make_dead_letter(n, body=bytes(8_000), ended_unix_ms=NOW_MS + n)], NOW_MS + n)
     assert store.stats()["file_bytes"] <= bounds.file_bytes and 50 < store.stats()["count"] < 200
-    assert store.get(1) is not None, "a payment that may have been made outlasts notices"
+    assert store.get(1) is not None, "a payment that may have been made is evicted after notices"
     store.add([make_dead_letter(1_000, ended_unix_ms=NOW_MS + 3 * 86_400_000.0)], NOW_MS + 3 * 86_400_000.0)
-    assert store.get(1) is None, "but not its age"
+    assert store.get(1) is None, "an expired message is evicted whatever its rank"
 
 
-def test_store_without_evictable_messages_raises_and_stays_as_it_was(path: Path):
+def test_store_without_evictable_messages_raises_and_stays_unchanged(path: Path):
     store = DeadLetterStore(path, replace(BOUNDS, message_count=2), has_effect)
     store.add([make_dead_letter(n, state=DeadLetterState.REDELIVERING) for n in (1, 2)], NOW_MS)
     with pytest.raises(DeadLetterStoreError, match="nothing that may be lost"):
--- a/tests/test_delivery_engine.py
+++ b/tests/test_delivery_engine.py
@@ -16,60 +16,62 @@
 
 def test_journal_holds_message_before_it_is_accepted_and_attempt_before_it_starts(tmp_path: Path):
     world = World(tmp_path)
-    world.courier.accept(SubmittedMessage("a", "safe", None, 1, 5_000.0, "f00d", b"\x00body"))
-    assert world.open() == ["a"] and world.ids() == []
+    world.engine.accept(SubmittedMessage("a", "safe", None, 1, 5_000.0, "f00d", b"\x00body"))
+    assert world.open_ids() == ["a"] and world.sent_ids() == []
     world.run()
-    assert world.ids() == [["a"]] and world.out.recorded == [["a"]]
-    assert world.out.sent[0].parcels == [OutgoingMessage("a", "f00d", b"\x00body")]
-    world.out.sent[0].end(OK)
+    assert world.sent_ids() == [["a"]] and world.transport.journaled_attempts == [["a"]]
+    assert world.transport.calls[0].messages == [OutgoingMessage("a", "f00d", b"\x00body")]
+    world.transport.calls[0].end(OK)
     world.run()
-    assert world.open() == [] and not world.out.notices
+    assert world.open_ids() == [] and not world.transport.notifications
 
 
-def test_take_of_duplicate_is_one_message(tmp_path: Path):
+def test_accept_of_duplicate_keeps_one_message(tmp_path: Path):
     world = World(tmp_path)
-    world.put("a")
-    world.courier.withdraw(world.put("a"))  # the second client leaves; the first has its answer
+    world.submit("a")
+    world.engine.withdraw(world.submit("a"))  # the second client disconnects; the first one has its reply
     world.run()
-    assert world.ids() == [["a"]] and world.open() == ["a"] and not world.out.sent[0].cancelled
+    assert (
+        world.sent_ids() == [["a"]] and world.open_ids() == ["a"] and not world.transport.calls[0].cancelled
+    )
 
 
-def test_take_of_withdrawn_message_in_flight_is_rejected_until_its_attempt_ends(tmp_path: Path):
+def test_accept_of_withdrawn_message_in_flight_is_rejected_until_its_attempt_ends(tmp_path: Path):
     world = World(tmp_path)
-    world.courier.withdraw(world.put("a"))
+    world.engine.withdraw(world.submit("a"))
     world.run()
     with pytest.raises(RejectedError):
-        world.put("a")
-    assert world.open() == []
-    world.out.sent[0].end(AttemptResult(Outcome.CANCELLED))
+        world.submit("a")
+    assert world.open_ids() == []
+    world.transport.calls[0].end(AttemptResult(Outcome.CANCELLED))
     world.run()
-    assert world.put("a") >= 0
+    assert world.submit("a") >= 0
     world.run()
-    assert world.ids() == [["a"], ["a"]]
+    assert world.sent_ids() == [["a"], ["a"]]
 
 
-def test_take_of_completed_message_in_flight_is_rejected(tmp_path: Path):
-    """Its final answer was given: another acceptance would never be answered."""
+def test_accept_of_completed_message_in_flight_is_rejected(tmp_path: Path):
+    """The message has had its final answer: accepted again, it would never get another one."""
     world = World(tmp_path)
-    world.put("a", left=50.0)
+    world.submit("a", left=50.0)
     world.run(100)
-    assert world.out.notices["a"][0] in ("failed", "returned")
+    assert world.transport.notifications["a"][0] in ("failed", "returned")
     with pytest.raises(RejectedError):
-        world.put("a")
+        world.submit("a")
 
 
-def test_take_of_unknown_class_or_above_capacity_is_rejected(tmp_path: Path):
+def test_accept_of_unknown_class_or_above_capacity_is_rejected(tmp_path: Path):
     world = World(tmp_path, max_held=3)
     with pytest.raises(BadRequestError):
-        world.put("x", "no-such-class")
+        world.submit("x", "no-such-class")
     for name in "abc":
-        world.courier.accept(SubmittedMessage(name, "safe", None, 1, 5_000.0, "", b""))
-    with pytest.raises(RejectedError) as busy:
-        world.courier.accept(SubmittedMessage("d", "safe", None, 1, 5_000.0, "", b""))
-    assert busy.value.retry_after_ms == 3_000 and "d" not in world.open()
+        world.engine.accept(SubmittedMessage(name, "safe", None, 1, 5_000.0, "", b""))
+    with pytest.raises(RejectedError) as rejection:
+        world.engine.accept(SubmittedMessage("d", "safe", None, 1, 5_000.0, "", b""))
+    assert rejection.value.retry_after_ms == 3_000 and "d" not in world.open_ids()
 
 
-def test_take_of_undeliverable_message_is_a_bad_request(tmp_path: Path):
+def test_accept_of_undeliverable_message_is_a_bad_request(tmp_path: Path):
     world = World(tmp_path)
     for cls, dest, left, token in (
         ("safe", 3, 5_000.0, ""),
@@ -78,16 +80,16 @@
         ("keyed", 1, 5_000.0, ""),
     ):
         with pytest.raises(BadRequestError):
-            world.courier.accept(SubmittedMessage("x", cls, None, dest, left, token, b""))
-    assert world.open() == []
+            world.engine.accept(SubmittedMessage("x", cls, None, dest, left, token, b""))
+    assert world.open_ids() == []
 
 
-def test_take_with_full_journal_is_rejected(tmp_path: Path):
-    world = World(tmp_path, disk=60_000)
+def test_accept_with_full_journal_is_rejected(tmp_path: Path):
+    world = World(tmp_path, disk_limit_bytes=60_000)
 
     def submit_until_full() -> None:
         for i in range(20):
-            world.courier.accept(SubmittedMessage(f"m{i}", "safe", None, 1, 5_000.0, "", b"x" * 5_000))
+            world.engine.accept(SubmittedMessage(f"m{i}", "safe", None, 1, 5_000.0, "", b"x" * 5_000))
 
     with pytest.raises(RejectedError):
         submit_until_full()
@@ -95,45 +97,45 @@
 
 def test_withdraw_of_message_in_flight_cancels_its_call(tmp_path: Path):
     world = World(tmp_path)
-    world.courier.withdraw(world.put("a"))
+    world.engine.withdraw(world.submit("a"))
     world.run()
-    assert world.open() == [] and world.out.sent[0].cancelled
-    world.out.sent[0].end(AttemptResult(Outcome.CANCELLED))
+    assert world.open_ids() == [] and world.transport.calls[0].cancelled
+    world.transport.calls[0].end(AttemptResult(Outcome.CANCELLED))
     world.run(500)
-    assert len(world.out.sent) == 1 and not world.out.notices
-    world.courier.withdraw(0)  # the handle of a finished message does nothing
+    assert len(world.transport.calls) == 1 and not world.transport.notifications
+    world.engine.withdraw(0)  # the handle of a removed message has no effect
 
 
 def test_messages_of_one_dispatch_cycle_share_a_call_and_have_results_of_their_own(tmp_path: Path):
     world = World(tmp_path, kind="batch")
     for name in "abcd":
-        world.courier.accept(SubmittedMessage(name, "safe", None, 1, 5_000.0, "", b""))
+        world.engine.accept(SubmittedMessage(name, "safe", None, 1, 5_000.0, "", b""))
     world.run()
-    assert world.ids() == [["a", "b", "c", "d"]]
-    world.out.sent[0].end(
+    assert world.sent_ids() == [["a", "b", "c", "d"]]
+    world.transport.calls[0].end(
         OK, AttemptResult(Outcome.ERROR), AttemptResult(Outcome.NOT_SENT, is_final=True), OK
     )
     world.run(10)
-    assert world.open() == ["b"] and world.ids()[1:] == [["b"]]
+    assert world.open_ids() == ["b"] and world.sent_ids()[1:] == [["b"]]
 
 
 def test_message_completed_in_a_shared_call_is_no_longer_wanted(tmp_path: Path):
-    """It was dispatched after its final answer where the call's connection came up late."""
+    """Guards against sending a message after its final answer when a connection is established late."""
     world = World(tmp_path, kind="batch")
-    world.courier.accept(SubmittedMessage("brief", "safe", None, 1, 100.0, "", b""))
-    world.courier.accept(SubmittedMessage("other", "safe", None, 1, 5_000.0, "", b""))
+    world.engine.accept(SubmittedMessage("brief", "safe", None, 1, 100.0, "", b""))
+    world.engine.accept(SubmittedMessage("other", "safe", None, 1, 5_000.0, "", b""))
     world.run()
-    (call,) = world.out.sent
-    assert call.wanted("brief") and call.wanted("other") and not call.lessened
+    (call,) = world.transport.calls
+    assert call.is_wanted("brief") and call.is_wanted("other") and not call.drop_count
     world.run(150)
-    assert "brief" in world.out.notices and call.lessened == 1 and not call.cancelled
-    assert call.wanted("other") and not call.wanted("brief")
-    call.end(*(AttemptResult(Outcome.NOT_SENT) if p.id == "brief" else OK for p in call.parcels))
+    assert "brief" in world.transport.notifications and call.drop_count == 1 and not call.cancelled
+    assert call.is_wanted("other") and not call.is_wanted("brief")
+    call.end(*(AttemptResult(Outcome.NOT_SENT) if p.id == "brief" else OK for p in call.messages))
     world.run()
-    assert len(world.out.sent) == 1 and world.courier.held_count == 0
+    assert len(world.transport.calls) == 1 and world.engine.held_count == 0
 
 
-# Guards against answers that are void for all messages of a call, since the first one's time is over.
+# Guards against responses that are void for all messages because the first one's deadline has passed.
 def test_shared_call_begins_with_a_message_whose_time_outlasts_it(tmp_path: Path):
     world = World(tmp_path, kind="batch")
     for name, class_name, left_ms in (
@@ -141,225 +143,225 @@
         ("usual", "safe", 5e3),
         ("lasting", "safe", 9e3),
     ):
-        world.courier.accept(SubmittedMessage(name, class_name, None, 1, left_ms, "", b""))
+        world.engine.accept(SubmittedMessage(name, class_name, None, 1, left_ms, "", b""))
     world.run()
-    (call,) = world.out.sent
-    assert {message.id for message in call.parcels} == {"brief", "usual", "lasting"}
-    assert call.parcels[0].id != "brief" and world.clock.now() + 400.0 < call.until
-    call.end(*(AttemptResult(Outcome.ERROR) if message.id == "usual" else OK for message in call.parcels))
-    assert world.open() == ["usual"], "each result is that of its own message"
+    (call,) = world.transport.calls
+    assert {message.id for message in call.messages} == {"brief", "usual", "lasting"}
+    assert call.messages[0].id != "brief" and world.clock.now() + 400.0 < call.deadline_ms
+    call.end(*(AttemptResult(Outcome.ERROR) if message.id == "usual" else OK for message in call.messages))
+    assert world.open_ids() == ["usual"], "each message gets its own result"
 
 
 def test_shared_call_ends_before_its_first_message_is_lost(tmp_path: Path):
-    """An answer that came 300 ms after the time of one message was not counted for the others of its call."""
+    """A response 300 ms after one message's deadline does not count for the other messages of the call."""
     world = World(tmp_path, kind="batch")
-    world.courier.accept(SubmittedMessage("brief", "safe", None, 1, 1_000.0, "", b""))
-    world.courier.accept(SubmittedMessage("other", "safe", None, 1, 20_000.0, "", b""))
-    began = world.clock.now()
+    world.engine.accept(SubmittedMessage("brief", "safe", None, 1, 1_000.0, "", b""))
+    world.engine.accept(SubmittedMessage("other", "safe", None, 1, 20_000.0, "", b""))
+    start_ms = world.clock.now()
     world.run()
-    assert len(world.out.sent) == 1
-    assert began + 1_000.0 < world.out.sent[0].until < began + 1_300.0
-    world.put("alone", left=20_000.0)
-    assert world.out.sent[1].until > began + 1_300.0
+    assert len(world.transport.calls) == 1
+    assert start_ms + 1_000.0 < world.transport.calls[0].deadline_ms < start_ms + 1_300.0
+    world.submit("alone", left=20_000.0)
+    assert world.transport.calls[1].deadline_ms > start_ms + 1_300.0
 
 
-def test_message_out_of_attempts_is_notified_at_once_with_retry_after(tmp_path: Path):
+def test_message_without_attempts_left_is_notified_at_once_with_retry_after(tmp_path: Path):
     world = World(tmp_path, max_attempts=1)
-    world.put("a")
-    world.out.sent[0].end(AttemptResult(Outcome.FULL))
+    world.submit("a")
+    world.transport.calls[0].end(AttemptResult(Outcome.FULL))
     world.run()
-    state, after, heard = world.out.notices["a"]
-    assert (state, after) == ("returned", 3_000) and world.open() == ["a"]
-    heard()
-    assert world.open() == []
+    state, retry_after_ms, acknowledge = world.transport.notifications["a"]
+    assert (state, retry_after_ms) == ("returned", 3_000) and world.open_ids() == ["a"]
+    acknowledge()
+    assert world.open_ids() == []
 
 
 def test_ordering_key_waits_until_notification_of_previous_message_is_acknowledged(tmp_path: Path):
     """A message that was not delivered blocks its key until its notification is acknowledged."""
     world = World(tmp_path, max_attempts=1)
-    world.put("first", "keyed", key=9)
-    world.put("second", "keyed", key=9)
-    world.out.sent[0].end(AttemptResult(Outcome.FULL))
+    world.submit("first", "keyed", key=9)
+    world.submit("second", "keyed", key=9)
+    world.transport.calls[0].end(AttemptResult(Outcome.FULL))
     world.run(3_000)
-    assert world.ids() == [["first"]]
-    world.out.notices["first"][2]()
+    assert world.sent_ids() == [["first"]]
+    world.transport.notifications["first"][2]()
     world.run(3_000)
-    assert world.ids() == [["first"], ["second"]]
+    assert world.sent_ids() == [["first"], ["second"]]
 
 
-def test_recover_resumes_open_messages_and_counts_attempts_on(tmp_path: Path):
+def test_recover_resumes_open_messages_and_continues_attempt_count(tmp_path: Path):
     world = World(tmp_path, max_attempts=2)
-    world.put("ended")
-    world.out.sent[0].end(OK)
-    world.put("tried")
-    world.out.sent[1].end(AttemptResult(Outcome.ERROR))
+    world.submit("ended")
+    world.transport.calls[0].end(OK)
+    world.submit("tried")
+    world.transport.calls[1].end(AttemptResult(Outcome.ERROR))
     world.journal.close()
     world.clock.advance(600)
     world.start()
-    assert world.ids() == [["tried"]]
-    world.out.sent[0].end(AttemptResult(Outcome.ERROR))
+    assert world.sent_ids() == [["tried"]]
+    world.transport.calls[0].end(AttemptResult(Outcome.ERROR))
     world.run()
-    assert world.out.notices["tried"][0] == "returned"  # it has used its two attempts
+    assert world.transport.notifications["tried"][0] == "returned"  # it has used its two attempts
     world.kill()
-    assert world.out.notices["tried"][0] == "returned"  # nobody has acknowledged the notification
-    world.out.notices["tried"][2]()
+    assert world.transport.notifications["tried"][0] == "returned"  # the notification is not acknowledged yet
+    world.transport.notifications["tried"][2]()
     world.kill()
-    assert not world.out.notices and not world.out.sent
+    assert not world.transport.notifications and not world.transport.calls
 
 
 def test_recover_treats_attempt_in_flight_at_crash_as_may_have_run(tmp_path: Path):
-    """Keyed: it is retried inside its window only, and the next message of its key waits first."""
+    """A keyed message is retried only within its window, and blocks its key for a while first."""
     world = World(tmp_path)
-    world.put("first", "keyed", key=9)
-    world.put("second", "keyed", key=9)
+    world.submit("first", "keyed", key=9)
+    world.submit("second", "keyed", key=9)
     world.kill()
-    assert world.ids() == [["first"]]
-    world.out.sent[0].end(OK)
+    assert world.sent_ids() == [["first"]]
+    world.transport.calls[0].end(OK)
     world.run(200)
-    assert world.ids() == [["first"]]  # the key is blocked for 300 ms after the start
+    assert world.sent_ids() == [["first"]]  # the key is blocked for 300 ms after the start
     world.run(150)
-    assert world.ids() == [["first"], ["second"]]
+    assert world.sent_ids() == [["first"], ["second"]]
     world.journal.close()
     world.clock.advance(9_000)  # past the window of 8 s
     world.start()
     world.run(20)
-    assert not world.out.sent and world.out.notices["second"][0] == "returned"
+    assert not world.transport.calls and world.transport.notifications["second"][0] == "returned"
 
 
 def test_recover_fails_at_most_once_message_in_flight_at_crash(tmp_path: Path):
     world = World(tmp_path)
-    world.put("a", "once")
+    world.submit("a", "once")
     world.kill()
     world.run(10)
-    assert not world.out.sent and world.out.notices["a"][0] == "failed"
+    assert not world.transport.calls and world.transport.notifications["a"][0] == "failed"
 
 
 def test_recover_keeps_per_key_ordering(tmp_path: Path):
     world = World(tmp_path)
     for name in ("a", "b", "c"):
-        world.put(name, "keyed", key=9)
-    world.out.sent[0].end(OK)
+        world.submit(name, "keyed", key=9)
+    world.transport.calls[0].end(OK)
     world.run()
     world.kill()
     order = []
     for _ in range(2):
-        order += world.ids()[-1]
-        world.out.sent[-1].end(OK)
+        order += world.sent_ids()[-1]
+        world.transport.calls[-1].end(OK)
         world.run(400)
-    assert order == ["b", "c"] and world.open() == []
+    assert order == ["b", "c"] and world.open_ids() == []
 
 
 def test_recover_notifies_of_message_past_its_deadline_at_once(tmp_path: Path):
     world = World(tmp_path)
-    world.put("a", left=5_000.0)
+    world.submit("a", left=5_000.0)
     world.journal.close()
     world.clock.advance(9_000)
     world.start()
-    assert not world.out.sent and "a" in world.out.notices
+    assert not world.transport.calls and "a" in world.transport.notifications
 
 
-def test_freeze_starts_nothing_more_and_records_attempts_in_flight(tmp_path: Path):
+def test_freeze_starts_no_attempts_and_records_those_in_flight(tmp_path: Path):
     world = World(tmp_path)
-    world.put("out")
-    world.courier.freeze()
-    world.put("late")
-    assert world.ids() == [["out"]] and world.courier.in_flight_count == 1
-    world.out.sent[0].end(OK)
-    assert world.courier.in_flight_count == 0 and world.open() == ["late"]
+    world.submit("out")
+    world.engine.freeze()
+    world.submit("late")
+    assert world.sent_ids() == [["out"]] and world.engine.in_flight_count == 1
+    world.transport.calls[0].end(OK)
+    assert world.engine.in_flight_count == 0 and world.open_ids() == ["late"]
     world.kill()
-    assert world.ids() == [["late"]]
+    assert world.sent_ids() == [["late"]]
 
 
 def test_attempt_that_journal_cannot_record_does_not_start(tmp_path: Path, monkeypatch: pytest.MonkeyPatch):
     world = World(tmp_path)
     monkeypatch.setattr(world.journal, "record_attempt_started", lambda *args: False)
-    world.put("a")
+    world.submit("a")
     world.run(5)
-    assert not world.out.sent
+    assert not world.transport.calls
 
 
 def test_dispatch_cycle_survives_fault_in_scheduler(tmp_path: Path, monkeypatch: pytest.MonkeyPatch):
     world = World(tmp_path)
-    monkeypatch.setattr(world.courier.scheduler, "handle", lambda *args: 1 / 0)
-    world.put("a")
+    monkeypatch.setattr(world.engine.scheduler, "handle", lambda *args: 1 / 0)
+    world.submit("a")
     monkeypatch.undo()
-    world.put("b")
-    assert world.ids() == [["b"]]
+    world.submit("b")
+    assert world.sent_ids() == [["b"]]
 
 
 def test_draining_and_retry_after_recall_calls_that_await_a_connection(tmp_path: Path):
-    """A connection may come up long after the call was decided, and after draining or the backoff began."""
+    """A connection may be established long after the call was decided, when draining or a backoff began."""
     world = World(tmp_path)
-    world.put("a")
+    world.submit("a")
     drain = api.EndpointEntry(11, 1, api.EndpointStatus.DRAINING)
-    world.courier.update_endpoints(api.EndpointsUpdated(api.UpdateScope.CHANGES, (drain,)))
+    world.engine.update_endpoints(api.EndpointsUpdated(api.UpdateScope.CHANGES, (drain,)))
     world.run()
-    assert world.out.recalled == [11]
+    assert world.transport.recalled == [11]
     (tmp_path / "other").mkdir()
     world = World(tmp_path / "other")
-    world.put("b")
-    world.put("c")
-    world.out.sent[0].end(AttemptResult(Outcome.FULL, retry_after_ms=500))
+    world.submit("b")
+    world.submit("c")
+    world.transport.calls[0].end(AttemptResult(Outcome.FULL, retry_after_ms=500))
     world.run()
-    assert world.ids() == [["b"], ["c"]] and world.out.recalled == [11]
+    assert world.sent_ids() == [["b"], ["c"]] and world.transport.recalled == [11]
 
 
 def test_recover_does_not_extend_retry_window_by_duration_of_start(tmp_path: Path):
-    """Real day "reload": after a restart two repeats came to their destination after the window's end."""
+    """Guards against retries that reach their destination after the window's end when a restart is slow."""
     world = World(tmp_path)
-    world.put("a", "keyed", key=9)
-    first, world.slow_start = world.clock.now(), 400.0
+    world.submit("a", "keyed", key=9)
+    first, world.start_duration_ms = world.clock.now(), 400.0
     world.kill()
-    assert len(world.out.sent) == 1 and world.out.sent[0].begin_by is not None
-    assert world.out.sent[0].begin_by <= first + 8_000 - 150
+    assert len(world.transport.calls) == 1 and world.transport.calls[0].start_by_ms is not None
+    assert world.transport.calls[0].start_by_ms <= first + 8_000 - 150
 
 
 def test_retry_must_begin_within_its_window(tmp_path: Path):
-    """The connection that it needs may come up only after the window: it is then not written."""
+    """A retry whose connection is established only after the window must not be written."""
     world = World(tmp_path)
-    world.put("a", "keyed", key=9)
+    world.submit("a", "keyed", key=9)
     first = world.clock.now()
     world.run(100)
-    world.out.sent[0].end(AttemptResult(Outcome.ERROR))
+    world.transport.calls[0].end(AttemptResult(Outcome.ERROR))
     world.run(1_000)
-    assert world.out.sent[0].begin_by is None
-    assert world.out.sent[1].begin_by == pytest.approx(first + 8_000 - 150)
+    assert world.transport.calls[0].start_by_ms is None
+    assert world.transport.calls[1].start_by_ms == pytest.approx(first + 8_000 - 150)
 
 
 def test_events_of_one_step_are_handled_together_and_endpoint_updates_at_once(tmp_path: Path):
-    """Messages of one burst come a few milliseconds apart: they share a call. Draining does not wait."""
+    """Messages of a burst arrive milliseconds apart and share a call; draining takes effect at once."""
     world = World(tmp_path, kind="batch")
     for name in "abc":
-        world.courier.accept(SubmittedMessage(name, "safe", None, 1, 5_000.0, "", b""))
+        world.engine.accept(SubmittedMessage(name, "safe", None, 1, 5_000.0, "", b""))
         world.clock.advance(1)
-    assert world.turns == [] and world.ids() == []
+    assert world.callbacks == [] and world.sent_ids() == []
     world.run()
-    assert world.ids() == [["a", "b", "c"]]
-    world.courier.accept(SubmittedMessage("d", "safe", None, 2, 5_000.0, "", b""))
-    world.courier.update_endpoints(
+    assert world.sent_ids() == [["a", "b", "c"]]
+    world.engine.accept(SubmittedMessage("d", "safe", None, 2, 5_000.0, "", b""))
+    world.engine.update_endpoints(
         api.EndpointsUpdated(
             api.UpdateScope.CHANGES, (api.EndpointEntry(21, 2, api.EndpointStatus.DRAINING),)
         )
     )
-    world.turns.pop(0)()
+    world.callbacks.pop(0)()
     world.run()
-    assert world.ids() == [["a", "b", "c"]]
+    assert world.sent_ids() == [["a", "b", "c"]]
 
 
-def test_recover_in_the_middle_of_an_outage_goes_on_with_trials(tmp_path: Path):
-    """A courier that was killed in an outage sent all that it had recovered, as to a healthy destination."""
+def test_recover_during_an_outage_continues_with_trials(tmp_path: Path):
+    """Guards against sending all recovered messages at once after a crash during an outage."""
     world = World(tmp_path, senders=100, slots=24)
     for number in range(10):
-        world.put(f"m{number}")
+        world.submit(f"m{number}")
         world.run(200)
-        for sent in world.out.sent:
+        for sent in world.transport.calls:
             if not sent.cancelled:
                 sent.cancelled = True
                 sent.end(AttemptResult(Outcome.CONNECT_FAILED))
-    held = len(world.open())
-    assert held == 10
+    open_count = len(world.open_ids())
+    assert open_count == 10
     world.kill()
     world.run(1_000)
-    assert len(world.out.sent) <= 2, world.ids()
+    assert len(world.transport.calls) <= 2, world.sent_ids()
     world.run(8_000)
-    assert world.out.sent, "it is never tried again"
+    assert world.transport.calls, "the destination must be tried again"
--- a/tests/test_delivery_ports.py
+++ b/tests/test_delivery_ports.py
@@ -10,20 +10,20 @@
 ENTRY = JournalEntry(1, "a", "safe", None, 1, 5_000.0, "", b"")
 
 
-def test_no_replication_secure_goes_on_at_once_and_only_once():
+def test_no_replication_when_replicated_calls_back_exactly_once():
     calls: list[str] = []
-    NoReplication().secure(lambda: calls.append("then"), lambda: calls.append("lost"))
+    NoReplication().when_replicated(lambda: calls.append("then"), lambda: calls.append("lost"))
     assert calls == ["then"]
 
 
-def test_no_replication_enter_admits_at_once_without_earlier_run():
+def test_no_replication_wait_for_predecessors_is_ready_at_once_without_earlier_run():
     earlier_runs: list[Any] = []
     replication = NoReplication()
-    replication.enter(1, "safe", None, "", None, earlier_runs.append)
-    assert earlier_runs == [None] and replication.refused() == 0.0
+    replication.wait_for_predecessors(1, "safe", None, "", None, earlier_runs.append)
+    assert earlier_runs == [None] and replication.admission_delay_ms() == 0.0
 
 
-def test_no_dead_letters_stores_nothing_and_goes_on_at_once():
+def test_no_dead_letters_stores_nothing_and_calls_back_at_once():
     calls: list[str] = []
     dead_letters = NoDeadLetters()
     dead_letters.archive(ENTRY, lambda: calls.append("keep"))
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -296,7 +296,10 @@
         data = json.loads(path.read_text())
         path.write_text("{")
         courier.send_signal(signal.SIGHUP)
-        wait_for("one log line", lambda: b"old configuration goes on" in (tmp_path / "log").read_bytes())
+        wait_for(
+            "one log line",
+            lambda: b"previous configuration stays in force" in (tmp_path / "log").read_bytes(),
+        )
         assert ask(port, request("gallery-notice", "8", "nobody there", patience_ms=100)) == b"+OK\r\n"
         wait_for("a notice at the old address", lambda: Partner.told_at)
         assert Partner.told_at == [partner.server_port]
--- a/tests/test_experiments_fault_search.py
+++ b/tests/test_experiments_fault_search.py
@@ -45,7 +45,7 @@
     ("failure", "rule", "owner", "method", "replacement"),
     [
         ("clock-set-back", "end", Journal, "anchor_clock", lambda self, clock: None),
-        ("disk-full-for-a-moment", "end", Journal, "_append_or_owe", lambda self, data: self._append(data)),
+        ("disk-full-for-a-moment", "end", Journal, "_append_or_defer", lambda self, data: self._append(data)),
         (
             "notice-told-again",
             "end",
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -1,4 +1,4 @@
-"""Scripts of faults that begin at observed states, played on real processes and on simulated fleets."""
+"""Fault scripts whose steps wait for observed states, run on processes and on simulated fleets."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from winchspan.simulation.link import LinkProfile
 
 SCRIPTS = sorted((Path(__file__).parent / "faults").glob("*.sexp"))
-# Other tests with processes cover the rest.
+# Other tests with processes cover the remaining faults.
 SCRIPTS_FOR_PROCESSES = ("leader-flaps", "hang-while-others-die", "folder-lost-by-the-owner")
 INTERVAL_SECONDS = 1.0  # between two health checks of an endpoint
 STEP_SECONDS = 0.02  # of virtual time between two observations
@@ -32,17 +32,25 @@
 
 @dataclass(frozen=True)
 class SimulationOptions:
-    """What a simulated fleet is like."""
+    """Options of a simulated fleet.
+
+    Attributes:
+        size: number of couriers.
+        seed: seed of all random decisions.
+        max_clock_drift: bound of the random drift of each clock, as a fraction of time.
+        link: properties of the links; None for the default.
+        asserts_one_holder: whether to assert at each observation that no role has two lease holders.
+    """
 
     size: int = 3
     seed: int = 7
-    max_clock_drift: float = 0.0  # seconds in a second
+    max_clock_drift: float = 0.0
     link: LinkProfile | None = None
-    asserts_one_holder: bool = True  # of each role's lease, at each observation
+    asserts_one_holder: bool = True
 
 
-def play_simulated(directory: Path, name: str, options: SimulationOptions) -> EmulatedFleet:
-    """Play a script on a fleet in virtual time, and audit the health checks."""
+def run_simulated_script(directory: Path, name: str, options: SimulationOptions) -> EmulatedFleet:
+    """Run a script on a fleet in virtual time, and audit the health checks."""
     rng = random.Random(options.seed)
     drifts = tuple(
         rng.uniform(-options.max_clock_drift, options.max_clock_drift) for _ in range(options.size)
@@ -53,16 +61,16 @@
     fleet = EmulatedFleet(directory, options.size, options.seed, fleet_options)
     try:
         fleet.start()
-        play = ScriptRunner(load_script(Path(__file__).parent / "faults" / f"{name}.sexp"), fleet)
+        runner = ScriptRunner(load_script(Path(__file__).parent / "faults" / f"{name}.sexp"), fleet)
         started_at = fleet.now()
         for step_number in count(1):
-            if play.advance():
+            if runner.advance():
                 break
-            assert fleet.now() - started_at < SCRIPT_TIMEOUT_SECONDS, f"{name}: {play.position}"
+            assert fleet.now() - started_at < SCRIPT_TIMEOUT_SECONDS, f"{name}: {runner.position}"
             fleet.run(STEP_SECONDS)
             if options.asserts_one_holder:
                 assert_one_holder(
-                    fleet, shard_roles() if step_number % 5 == 0 else ("probes-3",), play.position
+                    fleet, shard_roles() if step_number % 5 == 0 else ("probes-3",), runner.position
                 )
         fleet.run(2.0)
         audit = audit_health_checks(fleet.endpoints.health_checks, INTERVAL_SECONDS, 1e9, fleet.now())
@@ -88,12 +96,12 @@
 @pytest.mark.parametrize("name", [path.stem for path in SCRIPTS])
 def test_fault_script_on_simulated_fleet_keeps_one_lease_holder(tmp_path: Path, name: str):
     link = LinkProfile(0.5, 2.0, loss_probability=0.02, duplication_probability=0.05)
-    play_simulated(tmp_path, name, SimulationOptions(max_clock_drift=0.01, link=link))
+    run_simulated_script(tmp_path, name, SimulationOptions(max_clock_drift=0.01, link=link))
 
 
 @pytest.mark.parametrize("name", ["owner-frozen-twice"])
 def test_fault_script_on_forty_simulated_nodes_keeps_one_lease_holder(tmp_path: Path, name: str):
-    play_simulated(tmp_path, name, SimulationOptions(size=40, seed=3))
+    run_simulated_script(tmp_path, name, SimulationOptions(size=40, seed=3))
 
 
 def test_clock_drift_node_beyond_the_limit_is_reported_and_holds_no_lease(tmp_path: Path):
@@ -105,7 +113,7 @@
             lambda: all(member.figures().get("fleet.clocks.off") == 1 for member in fleet.members.values()),
         )
         wait_until_drifting_node_is_idle(fleet)
-        # It may stop before the leader sees the drift by as much as two comparisons lie apart.
+        # n1 may stop earlier than the leader measures the drift, by up to the interval of two comparisons.
         audit = audit_health_checks(fleet.endpoints.health_checks, INTERVAL_SECONDS, 4.0, fleet.now())
         assert audit.stale == audit.repeated == audit.late == []
     finally:
@@ -115,7 +123,10 @@
 def test_clock_drift_node_that_suspects_its_own_clock_releases_its_roles(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ):
-    """Seed 2 of the proof, clocks 1.50 and 1.56% off the median: roles had no holder for up to 74 s."""
+    """Guards against roles without a holder while only their holder measures that its clock drifts.
+
+    With seed 2 of the model check and clocks 1.50% and 1.56% off the median, this lasted up to 74 s.
+    """
 
     def find_drifting_clocks(self: ClockDriftMonitor, local_name: str, *_: object) -> dict[str, float]:
         return {"n1": 0.0151} if local_name == "n1" and self.drift_rate("n0") is not None else {}
@@ -135,7 +146,9 @@
 
 def test_fault_script_same_seed_gives_the_same_network_trace(tmp_path: Path):
     traces = {
-        play_simulated(tmp_path / str(n), "leader-flaps", SimulationOptions(seed=5)).network.trace.hexdigest()
+        run_simulated_script(
+            tmp_path / str(n), "leader-flaps", SimulationOptions(seed=5)
+        ).network.trace.hexdigest()
         for n in range(2)
     }
     assert len(traces) == 1
@@ -148,18 +161,18 @@
         LeaseHolder, "valid_epoch", lambda self, role, now: self._held.get(role, NO_LEASE).epoch
     )
     with pytest.raises(AssertionError, match="two owners"):
-        play_simulated(tmp_path, "owner-frozen-twice", SimulationOptions())
+        run_simulated_script(tmp_path, "owner-frozen-twice", SimulationOptions())
 
 
-def test_fencing_two_nodes_that_both_believe_to_hold_a_lease_do_not_both_act(
+def test_fencing_of_two_nodes_with_a_lease_on_the_same_role_lets_only_one_act(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ):
-    """Leases fail altogether: the epoch, which a quorum compares, fences the earlier holder."""
+    """Leases never expire in this test: a quorum compares epochs and fences the earlier holder."""
     monkeypatch.setattr(
         LeaseHolder, "valid_epoch", lambda self, role, now: self._held.get(role, NO_LEASE).epoch
     )
     monkeypatch.setattr(LeaseHolder, "remaining_ms", lambda self, role, now: 1_000.0 * (role in self._held))
-    fleet = play_simulated(tmp_path, "two-believe", SimulationOptions(asserts_one_holder=False))
+    fleet = run_simulated_script(tmp_path, "two-believe", SimulationOptions(asserts_one_holder=False))
     nodes = {check.node for check in fleet.endpoints.health_checks if check.role == "probes-3"}
     assert len(nodes) == 2
 
@@ -194,8 +207,8 @@
     try:
         fleet.start()
         wait_until_all_checked(endpoints, 0.0)
-        play = ScriptRunner(load_script(Path(__file__).parent / "faults" / f"{name}.sexp"), fleet)
-        wait_for(f"{name} is played", play.advance)
+        runner = ScriptRunner(load_script(Path(__file__).parent / "faults" / f"{name}.sexp"), fleet)
+        wait_for(f"{name} is played", runner.advance)
         wait_until_all_checked(endpoints, time.monotonic())
         audit = audit_health_checks(endpoints.health_checks, INTERVAL_SECONDS, 1e9, 0.0)
         assert audit.stale == [] and audit.repeated == []
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""Membership of real couriers under failures; each test waits for observed states."""
+"""Membership of courier processes under failures; each test waits for observed states."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     wait_for("its restart is logged", lambda: "n1 continues in another process" in fleet["n0"].read_log())
 
 
-def test_membership_resumed_node_accuses_nobody_and_rejoins(fleet: Fleet):
+def test_membership_resumed_node_suspects_no_other_node_and_rejoins(fleet: Fleet):
     fleet.start()
     fleet["n2"].send_signal(signal.SIGSTOP)
     fleet.wait_for_members("n2 is gone", ("n0", "n1"), MemberCounts(alive=2, gone=1))
@@ -80,7 +80,10 @@
         fleet.wait_until_all_alive("four know each other")
         fleet["n0"].operator_path.write_text("(fleet (on yes) (members")
         fleet["n0"].send_signal(signal.SIGHUP)
-        wait_for("the broken file is logged", lambda: "file goes on as it was" in fleet["n0"].read_log())
+        wait_for(
+            "the broken file is logged",
+            lambda: "previous operator options stay in force" in fleet["n0"].read_log(),
+        )
         assert fleet["n0"].read_member_counts() == MemberCounts(alive=4)
     finally:
         fleet.stop()
@@ -131,7 +134,7 @@
     ("change", "expected"),
     [
         (("n0=", "n9="), "operator.sexp:2:8: fleet.members: this courier, 'n0', is not among"),
-        (("n1=", "n0="), "operator.sexp:2:8: fleet.members: the name 'n0' stands twice"),
+        (("n1=", "n0="), "operator.sexp:2:8: fleet.members: duplicate name 'n0'"),
         (('(listen "127.0.0.1:', '(listen "127.0.0.1:1'), "operator.sexp:1:17: fleet.listen"),
         (("(on yes)", "(on yes) (period 0.1)"), "fleet.answer: must be a third of fleet.period, 0.1 s"),
         (("(on yes)", '(on yes) (secret-file "/nowhere")'), "fleet.secret-file: expected an existing file"),
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -50,11 +50,13 @@
         courier.wait()
 
 
-def test_main_with_everything_off_imports_no_library_of_the_kit():
+def test_main_without_optional_components_imports_no_optional_library():
     code = (
         "import sys, winchspan.__main__, winchspan.application.application; "
         "import winchspan.application.components, winchspan.runtime.system; "
         "print([m for m in ('sexpdata', 'xxhash', 'prometheus_client', 'click') if m in sys.modules])"
     )
-    out = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert out.stdout.strip() == "[]"
+    result = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
+    )
+    assert result.stdout.strip() == "[]"
--- a/tests/test_net_attempt_transport.py
+++ b/tests/test_net_attempt_transport.py
@@ -1,4 +1,4 @@
-"""Attempts over HTTP: what is sent, and what a response means."""
+"""Attempts over HTTP: encoded requests, and the results of responses."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    ("end", "outcome", "over", "wait", "no_slot"),
+    ("call_result", "outcome", "is_final", "wait_ms", "no_slot"),
     [
         (http_result(200), Outcome.DELIVERED, True, 0, False),
         (http_result(500), Outcome.ERROR, False, 0, False),
@@ -51,52 +51,52 @@
     ],
 )
 def test_read_results_single_message_maps_call_result_to_outcome(
-    end: HttpCallResult, outcome: Outcome, over: bool, wait: int, no_slot: bool
+    call_result: HttpCallResult, outcome: Outcome, is_final: bool, wait_ms: int, no_slot: bool
 ):
-    (result,) = read_results(end, [FIRST])
+    (result,) = read_results(call_result, [FIRST])
     assert (result.outcome, result.is_final, result.retry_after_ms, result.no_slot) == (
         outcome,
-        over,
-        wait,
+        is_final,
+        wait_ms,
         no_slot,
     )
-    assert len(read_results(end, [FIRST, SECOND])) == 2
+    assert len(read_results(call_result, [FIRST, SECOND])) == 2
 
 
 def test_read_results_batch_gives_each_message_its_result():
     states = ["ok", "error", "later", "gone", "exhausted"]
-    parcels = [OutgoingMessage(state, "", b"") for state in states]
+    messages = [OutgoingMessage(state, "", b"") for state in states]
     body = json.dumps([{"id": state, "state": state} for state in reversed(states)])
-    results = read_results(http_result(200, "X-RateLimit-Wait-Ms: 40", body=body), parcels)
-    assert [(v.outcome, v.is_final) for v in results] == [
+    results = read_results(http_result(200, "X-RateLimit-Wait-Ms: 40", body=body), messages)
+    assert [(result.outcome, result.is_final) for result in results] == [
         (Outcome.DELIVERED, True),
         (Outcome.ERROR, False),
         (Outcome.FULL, False),
         (Outcome.NOT_SENT, True),
         (Outcome.NOT_SENT, False),
     ]
-    assert {v.retry_after_ms for v in results} == {40.0}
+    assert {result.retry_after_ms for result in results} == {40.0}
 
 
 @pytest.mark.parametrize(
     "body", ["", "{", "[" * 60_000, "[1]", '[{"id":"a"}]', '{"id":"a","state":"ok"}', "null", "[]"]
 )
 def test_read_results_batch_without_results_may_have_run(body: str):
-    assert [v.outcome for v in read_results(http_result(200, body=body), [FIRST, SECOND])] == [
+    assert [result.outcome for result in read_results(http_result(200, body=body), [FIRST, SECOND])] == [
         Outcome.ERROR
     ] * 2
 
 
 def test_read_results_load_report_read_only_where_enabled():
-    told = http_result(200, "X-Load: x0=0.4,x1=25")
-    (result,) = read_results(told, [FIRST], has_load_reports=True)
-    assert (result.limit_left, result.limit_rate) == (0.4, 25.0)
-    (result,) = read_results(told, [FIRST])  # the settings speak of none
-    assert (result.limit_left, result.limit_rate) == (None, None)
+    response = http_result(200, "X-Load: x0=0.4,x1=25")
+    (result,) = read_results(response, [FIRST], has_load_reports=True)
+    assert (result.limit_remaining, result.limit_rate) == (0.4, 25.0)
+    (result,) = read_results(response, [FIRST])  # load reports are disabled
+    assert (result.limit_remaining, result.limit_rate) == (None, None)
 
 
 @pytest.mark.parametrize(
-    "fate",
+    "call_outcome",
     [
         HttpCallOutcome.INVALID_RESPONSE,
         HttpCallOutcome.CONNECTION_LOST,
@@ -104,18 +104,18 @@
         HttpCallOutcome.CANCELLED,
     ],
 )
-def test_read_results_status_line_200_delivers_single_message_whatever_follows(fate: HttpCallOutcome):
-    (result,) = read_results(HttpCallResult(fate, first_line_status=200), [FIRST])
+def test_read_results_status_line_200_delivers_single_message_whatever_follows(call_outcome: HttpCallOutcome):
+    (result,) = read_results(HttpCallResult(call_outcome, first_line_status=200), [FIRST])
     assert result.outcome is Outcome.DELIVERED and result.is_final
     assert all(
-        v.outcome is not Outcome.DELIVERED
-        for v in read_results(HttpCallResult(fate, first_line_status=200), [FIRST, SECOND])
+        other.outcome is not Outcome.DELIVERED
+        for other in read_results(HttpCallResult(call_outcome, first_line_status=200), [FIRST, SECOND])
     )
 
 
 def test_read_results_batch_partly_unreadable_delivers_none():
     body = '[{"id":"a","state":"ok"},{"id":"b"}]'
-    assert [v.outcome for v in read_results(http_result(200, body=body), [FIRST, SECOND])] == [
+    assert [result.outcome for result in read_results(http_result(200, body=body), [FIRST, SECOND])] == [
         Outcome.ERROR,
         Outcome.ERROR,
     ]
@@ -124,7 +124,7 @@
 @pytest.mark.parametrize("text", ["x0=0.5,x1=?", "x0=nan,x1=5", "x0=0.5,x1=-1", "\x01\x02", "x0"])
 def test_read_results_unreadable_load_report_ignored(text: str):
     (result,) = read_results(http_result(200, f"X-Load: {text}"), [FIRST], has_load_reports=True)
-    assert (result.outcome, result.limit_left, result.limit_rate) == (Outcome.DELIVERED, None, None)
+    assert (result.outcome, result.limit_remaining, result.limit_rate) == (Outcome.DELIVERED, None, None)
 
 
 def test_attempt_transport_start_sends_id_key_and_body_unchanged():
@@ -150,8 +150,8 @@
 
 
 def test_attempt_transport_message_ended_while_connecting_not_sent():
-    """Messages were sent on after their final answer, in a call whose other messages still waited for it."""
-    connections, over, got = FakePool(), set[str](), list[list[Outcome]]()
+    """Guards against sending a message after its final result, when the call waits for its connection."""
+    connections, completed_ids, received_outcomes = FakePool(), set[str](), list[list[Outcome]]()
     directory = EndpointDirectory(lambda event: None)
     directory.apply(watch_event(1, endpoint_entry("s-1"), whole=True))
     attempt_transport = HttpAttemptTransport(
@@ -164,16 +164,16 @@
             [FIRST, SECOND],
             9e9,
             None,
-            lambda results: got.append([v.outcome for v in results]),
-            lambda message: message not in over,
+            lambda results: received_outcomes.append([result.outcome for result in results]),
+            lambda message: message not in completed_ids,
         )
         return connections.calls[-1][0]
 
-    over.add("a")
+    completed_ids.add("a")
     head, body = sent()
     assert head.startswith(b"POST /hook ") and b"X-Request-Id: b\r\n" in head and body == b"y"
     connections.calls[-1][1](http_result(200))
-    over.add("b")
-    assert sent() == []  # nothing is left: the pool takes it back
+    completed_ids.add("b")
+    assert sent() == []  # no message is left: the pool recalls the call
     connections.calls[-1][1](HttpCallResult(HttpCallOutcome.RECALLED))
-    assert got == [[Outcome.NOT_SENT, Outcome.DELIVERED], [Outcome.NOT_SENT] * 2]
+    assert received_outcomes == [[Outcome.NOT_SENT, Outcome.DELIVERED], [Outcome.NOT_SENT] * 2]
--- a/tests/test_net_backlog_age.py
+++ b/tests/test_net_backlog_age.py
@@ -1,4 +1,4 @@
-"""Bounds of how long clients have waited to be accepted."""
+"""Upper bounds on the time that clients have waited in the backlog."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from winchspan.runtime.poll_monitor import PollMonitor
 
 
-def test_backlog_age_while_nobody_waited_is_bound_of_last_poll():
+def test_backlog_age_of_empty_backlog_is_bound_of_last_poll():
     monitor = PollMonitor(0.0)
     age = BacklogAge(monitor)
     age.record_empty()
--- a/tests/test_net_client_connection.py
+++ b/tests/test_net_client_connection.py
@@ -1,4 +1,4 @@
-"""A client connection: a model checked with random steps, and single cases."""
+"""A client connection: a state machine with random steps, and single cases."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class ClientConnectionStates(RuleBasedStateMachine):
-    """Requests in random pieces: each is answered once, in order, and withdrawn if the answer never left."""
+    """Requests in random pieces: each is answered once, in order, and no answered message is withdrawn."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -43,40 +43,40 @@
     @precondition(lambda self: not self.transport.closed)
     @rule(count=st.integers(1, 60))
     def flood(self, count: int) -> None:
-        """Many at once: no turn answers more than its part, and in the end all are answered."""
+        """Many requests at once: no cycle answers more than its limit, and in the end all are answered."""
         self.finish()
-        self.quiet = 0.0
+        self.idle_ms = 0.0
         for _ in range(count):
             feed(self.connection, PING)
         before = len(self.answers)
         self.answers += [b"+PONG\r\n"] * count
         while self.transport.written != b"".join(self.answers):
-            done = self.transport.written.count(b"PONG")
+            answered_before = self.transport.written.count(b"PONG")
             self.timers.run_due()
             assert 0 < self.transport.written.count(
                 b"PONG"
-            ) - done <= MAX_REQUESTS_PER_CYCLE and before < len(self.answers)
+            ) - answered_before <= MAX_REQUESTS_PER_CYCLE and before < len(self.answers)
         self.timers.run_due()
         assert self.transport.reading
 
     @rule(ms=st.sampled_from([100, 500, 900, 1_200, 2_000]))
     def time_passes(self, ms: int) -> None:
-        """Nobody keeps a connection without a request, or half a request, for longer than its time."""
+        """A connection without a request, or with a partial one, is closed at its time limit."""
         was_closed = self.transport.closed
         pass_time(self.connections, self.clock, self.timers, ms)
-        self.quiet += ms
+        self.idle_ms += ms
         if was_closed:
             return
-        over = self.quiet >= (REQUEST_LIMIT_MS if self.is_partial else IDLE_LIMIT_MS)
-        if self.is_partial and over:
+        is_expired = self.idle_ms >= (REQUEST_LIMIT_MS if self.is_partial else IDLE_LIMIT_MS)
+        if self.is_partial and is_expired:
             self.answers.append(resp.error_reply("ERR Protocol error: the request did not come whole"))
-        assert self.transport.closed == over
+        assert self.transport.closed == is_expired
 
     @precondition(lambda self: self.transport.closed)
     @rule()
     def connect(self) -> None:
-        self.intake, self.rest, self.quiet = FakeIntake(), b"", 0.0
-        self.is_partial = False  # some bytes of a request have come, and not all
+        self.intake, self.rest, self.idle_ms = FakeIntake(), b"", 0.0
+        self.is_partial = False  # some bytes of a request are received, but not all
         self.connections, self.clock, self.timers = client_connections(self.intake)
         self.connection, self.transport = connect(self.connections)
         self.answers: list[bytes] = []
@@ -92,15 +92,15 @@
         self.is_partial = bool(cut and self.rest)
         self.answer = b"+PONG\r\n" if ping else b"-BUSY 2000\r\n" if self.intake.busy else b"+OK\r\n"
         if cut:
-            self.quiet = 0.0
+            self.idle_ms = 0.0
         if not self.rest:
             self.answers.append(self.answer)
 
     @rule()
     def finish(self) -> None:
-        """The rest of a request comes, and only now its answer."""
+        """Receive the rest of a request, which only now is answered."""
         if self.rest and not self.transport.closed:
-            self.quiet = 0.0
+            self.idle_ms = 0.0
             feed(self.connection, self.rest)
             self.rest = b""
             self.is_partial = False
@@ -108,12 +108,12 @@
 
     @precondition(lambda self: not self.rest)
     @rule()
-    def turn(self) -> None:
+    def toggle_busy(self) -> None:
         self.intake.busy = not self.intake.busy
 
     @precondition(lambda self: not self.transport.closed and not self.rest)
     @rule()
-    def nonsense(self) -> None:
+    def malformed_request(self) -> None:
         feed(self.connection, b"GET / HTTP/1.1\r\n\r\n")
         assert self.transport.closed
         self.answers.append(self.transport.written[self.transport.written.rindex(b"-ERR") :])
@@ -129,14 +129,14 @@
 )
 
 
-def test_client_connection_submits_with_binary_bodies_taken_as_sent():
+def test_client_connection_submits_with_binary_bodies_accepted_unchanged():
     connection, _, intake, _ = connected_client()
     feed(connection, submit() + submit(b"b2", b"00000000000000ff"))
     rest = (7, 50.5, "ff", b"\r\n\x00", False, False)
     assert intake.accepted_messages == [("a1", "x", None, *rest), ("b2", "x", 255, *rest)]
     for name, mark in ((b"c3", b"r=1"), (b"d4", b"again=1")):
         feed(connection, submit(name, names=b"c=x,d=50.5,k=ff,dest=7," + mark))
-    assert [taken[-2:] for taken in intake.accepted_messages[2:]] == [(True, False), (False, True)]
+    assert [message[-2:] for message in intake.accepted_messages[2:]] == [(True, False), (False, True)]
 
 
 def test_client_connection_bad_request_replies_error_and_delays_reading():
@@ -148,7 +148,7 @@
         assert (
             transport.written[before:].startswith(b"-ERR ") and transport.written[before:].count(b"\r\n") == 1
         )
-        assert not transport.reading  # guards against a client that repeats itself at full speed
+        assert not transport.reading  # guards against a client that repeats bad requests at full speed
         pass_time(connections, clock, timers, 100)
         assert transport.reading
     assert not intake.accepted_messages and not transport.closed
@@ -171,7 +171,7 @@
     assert transport.closed
 
 
-def test_client_connection_lost_before_reply_left_withdraws_message():
+def test_client_connection_lost_before_reply_is_sent_withdraws_message():
     connection, transport, intake, _ = connected_client(stuck=True)
     feed(connection, submit())
     connection.pause_writing()
@@ -185,13 +185,18 @@
     assert intake.withdrawn == []
 
 
-@pytest.mark.parametrize(("left", "withdrawn"), [(0, []), (1, [2]), (5, [2]), (6, [1, 2]), (15, [0, 1, 2])])
+@pytest.mark.parametrize(
+    ("unsent_bytes", "withdrawn"), [(0, []), (1, [2]), (5, [2]), (6, [1, 2]), (15, [0, 1, 2])]
+)
 def test_client_connection_lost_in_pipeline_withdraws_only_messages_without_complete_reply(
-    left: int, withdrawn: list[int]
+    unsent_bytes: int, withdrawn: list[int]
 ):
-    """All were: also those whose `+OK` had reached the client, who hands them in nowhere else."""
+    """Guards against withdrawing messages whose `+OK` has reached the client.
+
+    The client does not submit them again elsewhere.
+    """
     connection, transport, intake, _ = connected_client(stuck=True)
-    transport.get_write_buffer_size = lambda: left  # type: ignore[method-assign]
+    transport.get_write_buffer_size = lambda: unsent_bytes  # type: ignore[method-assign]
     feed(connection, b"".join(submit(b"m%d" % i) for i in range(3)))
     connection.connection_lost(None)
     assert intake.withdrawn == withdrawn
@@ -213,7 +218,7 @@
     connection.connection_made(transport)
     feed(connection, submit(b"first") + submit(b"part")[:40])
     connections.begin_shutdown()
-    assert not transport.eof, "part of a request has come"
+    assert not transport.eof, "part of a request is received"
     connection.close(resp.error_reply("BUSY"))
     assert (
         transport.eof
--- a/tests/test_net_client_listener.py
+++ b/tests/test_net_client_listener.py
@@ -22,30 +22,33 @@
 )
 
 
-async def listening(most: int) -> tuple[ClientConnections, int]:
-    """Client connections on a set clock: nobody is over time, whatever the pace of the machine."""
-    connections = client_connections(FakeIntake(), 50, most)[0]
+async def listening(connection_limit: int) -> tuple[ClientConnections, int]:
+    """Return client connections on a manual clock, so that none expires on a slow machine, and the port."""
+    connections = client_connections(FakeIntake(), 50, connection_limit)[0]
     return connections, connections.listen(asyncio.get_running_loop(), System().listen("127.0.0.1", 0))
 
 
 def test_client_listener_excess_idle_connections_closed_bad_requesters_first():
-    """Incident r3c01bf: clients that ask once held all connections they may, each for two idle seconds."""
+    """Guards against idle connections that use up the connection limit (incident r3c01bf).
+
+    Clients that sent a single request kept their connections, each for two idle seconds.
+    """
     connections, clock, timers = client_connections(FakeIntake(), 200, 160)
-    joined = [connect(connections) for _ in range(40)]
-    for i, (connection, _) in enumerate(joined):
+    clients = [connect(connections) for _ in range(40)]
+    for i, (connection, _) in enumerate(clients):
         feed(connection, BAD_REQUESTS[0] if i == 30 else PING)
-    joined.append(connect(connections))  # has not asked yet
-    joined.append(connect(connections))
-    feed(joined[-1][0], PING[:5])  # is asking
+    clients.append(connect(connections))  # has sent no request yet
+    clients.append(connect(connections))
+    feed(clients[-1][0], PING[:5])  # has sent part of a request
     pass_time(connections, clock, timers, SWEEP_INTERVAL_MS)
-    closed = [i for i, (_, transport) in enumerate(joined) if transport.closed]
+    closed = [i for i, (_, transport) in enumerate(clients) if transport.closed]
     assert closed == [*range(19), 30]
 
 
 def test_client_listener_at_limit_evicts_silent_connections_first():
-    """Hundreds of silent clients kept the usual ones in the backlog until their time was up."""
+    """Guards against silent clients that keep others in the backlog until their reply timeout."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         connections, clock, timers = client_connections(FakeIntake(), 50, 2)
         port = connections.listen(asyncio.get_running_loop(), System().listen("127.0.0.1", 0))
         silent, half = [await asyncio.open_connection("127.0.0.1", port) for _ in range(2)]
@@ -64,13 +67,13 @@
         for _, writer in (silent, half, third):
             writer.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_client_listener_at_limit_evicts_least_recently_used_or_leaves_in_backlog():
-    """Asyncio's own server ran out of descriptors here, and then accepted nobody for a second."""
+    """Guards against running out of descriptors: asyncio's server then accepts no clients for a second."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         connections, port = await listening(2)
         ping = b"*1\r\n$4\r\nPING\r\n"
         first, second = [await asyncio.open_connection("127.0.0.1", port) for _ in range(2)]
@@ -80,16 +83,16 @@
         third = await asyncio.open_connection("127.0.0.1", port)
         third[1].write(ping)
         assert await third[0].readline() == b"+PONG\r\n"
-        assert await first[0].read() == b""  # the one unused for longest has made room
+        assert await first[0].read() == b""  # the least recently used connection is evicted
         connections.stop_listening()
         for _, writer in (first, second, third):
             writer.close()
 
-    async def wait_in_the_backlog() -> None:
+    async def wait_in_backlog() -> None:
         connections, port = await listening(1)
         ping = b"*1\r\n$4\r\nPING\r\n"
         first, second = [await asyncio.open_connection("127.0.0.1", port) for _ in range(2)]
-        second[1].write(ping)  # the first has asked for nothing yet: it may stay
+        second[1].write(ping)  # the first has sent no request yet, and is not evicted
         await asyncio.sleep(0.01)
         first[1].write(ping)
         assert await first[0].readline() == b"+PONG\r\n"
@@ -98,14 +101,14 @@
         for _, writer in (first, second):
             writer.close()
 
-    asyncio.run(play())
-    asyncio.run(wait_in_the_backlog())
+    asyncio.run(scenario())
+    asyncio.run(wait_in_backlog())
 
 
 def test_client_listener_accepted_connection_has_no_delay():
-    """A close over unread bytes would take an answer with it that the system still holds."""
+    """Guards against losing a reply that the kernel delays: a close with unread bytes would discard it."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         connections, port = await listening(2)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(PING)
@@ -117,7 +120,7 @@
         connections.stop_listening()
         writer.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_client_listener_shutdown_answers_partial_request_and_then_closes():
@@ -132,7 +135,7 @@
     used, fresh = connect(connections), connect(connections)
     feed(used[0], b"*1\r\n$4\r\nPING\r\n")
     connections.begin_shutdown()
-    # A request that crosses with the close is sent again only on a connection that has had one before.
+    # A client resends a request that is lost in the close only on a connection that has been used before.
     assert used[1].closed and not fresh[1].closed
     connections.stop_listening()
     assert not fresh[1].closed and connections.is_awaiting_first_request()
@@ -157,16 +160,20 @@
     assert bytes(transport.written) == b"+PONG\r\n" and not transport.is_closing()
     connections.begin_drain()
     assert transport.is_closing()  # idle
-    late, way = connect(connections)
+    late, late_transport = connect(connections)
     feed(late, submit())
-    assert bytes(way.written) == b"+OK\r\n" and way.is_closing() and len(intake.accepted_messages) == 1
-    probe, answer = connect(connections)
+    assert (
+        bytes(late_transport.written) == b"+OK\r\n"
+        and late_transport.is_closing()
+        and len(intake.accepted_messages) == 1
+    )
+    probe, probe_transport = connect(connections)
     feed(probe, b"*1\r\n$4\r\nPING\r\n")
-    assert bytes(answer.written).startswith(b"-") and answer.is_closing()
+    assert bytes(probe_transport.written).startswith(b"-") and probe_transport.is_closing()
     connections.end_drain()
-    back, way = connect(connections)
-    feed(back, b"*1\r\n$4\r\nPING\r\n")
-    assert bytes(way.written) == b"+PONG\r\n" and not way.is_closing()
+    client, client_transport = connect(connections)
+    feed(client, b"*1\r\n$4\r\nPING\r\n")
+    assert bytes(client_transport.written) == b"+PONG\r\n" and not client_transport.is_closing()
 
 
 def test_client_listener_drain_closes_silent_connections_and_its_end_keeps_shutdown():
--- a/tests/test_net_connection_pool.py
+++ b/tests/test_net_connection_pool.py
@@ -1,4 +1,4 @@
-"""Calls on pooled HTTP connections: a model checked with random steps, and single cases."""
+"""Calls on pooled HTTP connections: a state machine with random steps, and single cases."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class ConnectionPoolStates(RuleBasedStateMachine):
-    """Calls on a pool: each has one end, the right one, and no connection carries two."""
+    """Calls on a pool: each gets the expected result once, and no connection carries two calls."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -53,19 +53,19 @@
         )  # type: ignore[arg-type]
         self.state: dict[HttpConnection, str] = {}  # connecting, idle, writing, waiting, reading, dying
         self.transports: dict[HttpConnection, FakeTransport] = {}
-        self.carries: dict[HttpConnection, int] = {}
-        self.expected: dict[int, HttpCallOutcome] = {}
-        self.ends: dict[int, HttpCallOutcome] = {}
+        self.call_numbers: dict[HttpConnection, int] = {}
+        self.expected_outcomes: dict[int, HttpCallOutcome] = {}
+        self.outcomes: dict[int, HttpCallOutcome] = {}
         self.calls: list[Any] = []
-        self.limited: dict[int, float | None] = {}
+        self.start_limits_ms: dict[int, float | None] = {}
 
-    def some(self, *states: str) -> list[HttpConnection]:
+    def connections_in(self, *states: str) -> list[HttpConnection]:
         return [connection for connection, state in self.state.items() if state in states]
 
     def settle(self) -> None:
-        """Closed transports are lost, cancelled connects are over."""
-        while self.loop.soon:
-            self.loop.soon.pop(0)()
+        """Report closed transports as lost, and remove connections whose connect was cancelled."""
+        while self.loop.scheduled_actions:
+            self.loop.scheduled_actions.pop(0)()
         for connection, transport in list(self.transports.items()):
             if transport.closed:
                 self.lose(connection)
@@ -77,59 +77,59 @@
         self.transports.pop(connection)
         connection.connection_lost(None)
 
-    @rule(begin_by=st.sampled_from([None, None, 300]))
-    def call(self, begin_by: int | None) -> None:
+    @rule(start_within_ms=st.sampled_from([None, None, 300]))
+    def call(self, start_within_ms: int | None) -> None:
         number = len(self.calls)
 
-        def done(end: HttpCallResult) -> None:
-            assert number not in self.ends, "one end only"
-            self.ends[number] = end.outcome
+        def on_result(result: HttpCallResult) -> None:
+            assert number not in self.outcomes, "a call has one result only"
+            self.outcomes[number] = result.outcome
 
-        idle = self.some("idle")
+        idle = self.connections_in("idle")
         until = self.clock.now() + 5_000
-        limit = None if begin_by is None else self.clock.now() + begin_by
+        limit = None if start_within_ms is None else self.clock.now() + start_within_ms
         self.calls.append(
             self.pool.start_call(
-                PEER, lambda: [b"GET / HTTP/1.1\r\n\r\n"], until, done, CallOptions(start_by_ms=limit)
+                PEER, lambda: [b"GET / HTTP/1.1\r\n\r\n"], until, on_result, CallOptions(start_by_ms=limit)
             )
         )
-        self.limited[number] = limit
+        self.start_limits_ms[number] = limit
         connection = self.calls[-1].connection
-        assert (connection in idle) == bool(idle), "a warm connection is used if there is one"
-        self.carries[connection] = number
+        assert (connection in idle) == bool(idle), "an idle connection is used if there is one"
+        self.call_numbers[connection] = number
         self.state[connection] = "waiting" if idle else "connecting"
         if idle and self.transports[connection].stuck:
             self.state[connection] = "writing"
 
-    @precondition(lambda self: self.some("connecting"))
+    @precondition(lambda self: self.connections_in("connecting"))
     @rule(stuck=st.booleans())
     def connected(self, stuck: bool) -> None:
-        connection = self.some("connecting")[0]
+        connection = self.connections_in("connecting")[0]
         self.transports[connection] = FakeTransport(stuck)
         connection.connection_made(self.transports[connection])
         self.state[connection] = "writing" if stuck else "waiting"
 
-    @precondition(lambda self: self.some("connecting"))
+    @precondition(lambda self: self.connections_in("connecting"))
     @rule()
     def refused(self) -> None:
-        connection = self.some("connecting")[0]
-        self.expected[self.carries[connection]] = HttpCallOutcome.NOT_WRITTEN
+        connection = self.connections_in("connecting")[0]
+        self.expected_outcomes[self.call_numbers[connection]] = HttpCallOutcome.NOT_WRITTEN
         connection._close()
 
-    @precondition(lambda self: self.some("writing"))
+    @precondition(lambda self: self.connections_in("writing"))
     @rule()
     def drained(self) -> None:
-        connection = self.some("writing")[0]
+        connection = self.connections_in("writing")[0]
         self.transports[connection].pending, self.transports[connection].stuck = 0, False
         connection.resume_writing()
         self.state[connection] = "waiting"
 
-    @precondition(lambda self: self.some("waiting", "reading"))
+    @precondition(lambda self: self.connections_in("waiting", "reading"))
     @rule(last=st.booleans(), cut=st.integers(0, 30))
     def answered(self, last: bool, cut: int) -> None:
-        connection = self.some("waiting", "reading")[0]
+        connection = self.connections_in("waiting", "reading")[0]
         raw = LAST_RESPONSE if last else RESPONSE
-        self.expected[self.carries[connection]] = HttpCallOutcome.ANSWERED
+        self.expected_outcomes[self.call_numbers[connection]] = HttpCallOutcome.ANSWERED
         if self.state[connection] == "reading":
             raw = RESPONSE[10:]
             last = False
@@ -138,10 +138,10 @@
         self.state[connection] = "idle"
         assert self.transports[connection].closed == last
 
-    @precondition(lambda self: self.some("waiting"))
+    @precondition(lambda self: self.connections_in("waiting"))
     @rule()
-    def part_of_an_answer(self) -> None:
-        connection = self.some("waiting")[0]
+    def partial_response(self) -> None:
+        connection = self.connections_in("waiting")[0]
         feed(connection, RESPONSE[:10])
         self.state[connection] = "reading"
 
@@ -152,67 +152,67 @@
             pick % len(self.transports)
         ]
         if self.state[connection] != "idle":
-            fate = (
+            call_outcome = (
                 HttpCallOutcome.NOT_WRITTEN
                 if self.state[connection] == "writing"
                 else HttpCallOutcome.CONNECTION_LOST
             )
-            self.expected[self.carries[connection]] = fate
+            self.expected_outcomes[self.call_numbers[connection]] = call_outcome
         if eof:
             connection.eof_received()
         self.lose(connection)
 
-    @precondition(lambda self: self.some("idle", "waiting", "reading"))
+    @precondition(lambda self: self.connections_in("idle", "waiting", "reading"))
     @rule()
-    def nonsense(self) -> None:
-        connection = self.some("idle", "waiting", "reading")[0]
+    def malformed_response(self) -> None:
+        connection = self.connections_in("idle", "waiting", "reading")[0]
         if self.state[connection] != "idle":
-            self.expected[self.carries[connection]] = HttpCallOutcome.INVALID_RESPONSE
+            self.expected_outcomes[self.call_numbers[connection]] = HttpCallOutcome.INVALID_RESPONSE
         feed(connection, b"\x00" * 20_000 if self.state[connection] != "reading" else b"\r\nbroken\r\n\r\n")
 
     @rule()
     def recalled(self) -> None:
-        for connection in self.some("writing", "connecting"):
-            self.expected[self.carries[connection]] = HttpCallOutcome.RECALLED
+        for connection in self.connections_in("writing", "connecting"):
+            self.expected_outcomes[self.call_numbers[connection]] = HttpCallOutcome.RECALLED
         self.pool.recall(PEER)
 
-    @precondition(lambda self: self.some("writing", "waiting", "reading", "connecting"))
+    @precondition(lambda self: self.connections_in("writing", "waiting", "reading", "connecting"))
     @rule()
     def cancelled(self) -> None:
-        connection = self.some("writing", "waiting", "reading", "connecting")[0]
-        self.calls[self.carries[connection]].cancel()
-        self.expected[self.carries[connection]] = HttpCallOutcome.CANCELLED
+        connection = self.connections_in("writing", "waiting", "reading", "connecting")[0]
+        self.calls[self.call_numbers[connection]].cancel()
+        self.expected_outcomes[self.call_numbers[connection]] = HttpCallOutcome.CANCELLED
 
     @rule(ms=st.sampled_from([500, 1_200, 6_000]))
     def time_passes(self, ms: int) -> None:
-        for connection in self.some("writing", "waiting", "reading", "connecting"):
-            timers = [t.deadline_ms for t in self.calls[self.carries[connection]].timers]
-            limit = self.limited[self.carries[connection]]
+        for connection in self.connections_in("writing", "waiting", "reading", "connecting"):
+            timers = [t.deadline_ms for t in self.calls[self.call_numbers[connection]].timers]
+            limit = self.start_limits_ms[self.call_numbers[connection]]
             if (
                 self.state[connection] in ("writing", "connecting")
                 and limit
                 and limit <= self.clock.now() + ms
             ):
-                self.expected[self.carries[connection]] = HttpCallOutcome.RECALLED
+                self.expected_outcomes[self.call_numbers[connection]] = HttpCallOutcome.RECALLED
             elif self.state[connection] == "connecting" and min(timers) <= self.clock.now() + ms:
-                self.expected[self.carries[connection]] = HttpCallOutcome.NOT_WRITTEN
+                self.expected_outcomes[self.call_numbers[connection]] = HttpCallOutcome.NOT_WRITTEN
             elif self.state[connection] == "reading" and timers[-1] <= min(timers[0], self.clock.now() + ms):
-                self.expected[self.carries[connection]] = HttpCallOutcome.INVALID_RESPONSE
+                self.expected_outcomes[self.call_numbers[connection]] = HttpCallOutcome.INVALID_RESPONSE
             elif timers[0] <= self.clock.now() + ms:
                 written = self.state[connection] != "writing"
-                self.expected[self.carries[connection]] = (
+                self.expected_outcomes[self.call_numbers[connection]] = (
                     HttpCallOutcome.TIMED_OUT if written else HttpCallOutcome.NOT_WRITTEN
                 )
         self.clock.advance(ms)
         self.timers.run_due()
 
     @invariant()
-    def every_end_is_the_right_one_and_every_socket_is_counted(self) -> None:
+    def every_result_is_expected_and_every_socket_is_counted(self) -> None:
         self.settle()
-        assert self.ends == self.expected
+        assert self.outcomes == self.expected_outcomes
         assert self.budget.open_count == len(self.state)
         busy = [connection.call for connection in self.state if connection.call is not None]
-        assert len(busy) == len(set(map(id, busy))) == len(self.calls) - len(self.ends)
+        assert len(busy) == len(set(map(id, busy))) == len(self.calls) - len(self.outcomes)
 
 
 TestConnectionPoolStates = ConnectionPoolStates.TestCase
@@ -226,11 +226,11 @@
     pool = HttpConnectionPool(
         loop, clock, TimerQueue(clock), SocketBudget(9), PoolTimeouts(CONNECT_TIMEOUT_MS, KEEP_ALIVE_MS)
     )  # type: ignore[arg-type]
-    ends: list[HttpCallOutcome] = []
+    received_results: list[HttpCallOutcome] = []
 
     def call(peer: HttpPeer) -> tuple[HttpConnection, FakeTransport]:
         connection = pool.start_call(
-            peer, lambda: [b"x"], clock.now() + 9_000, lambda end: ends.append(end.outcome)
+            peer, lambda: [b"x"], clock.now() + 9_000, lambda result: received_results.append(result.outcome)
         ).connection
         assert connection is not None
         if connection in loop.connections:
@@ -243,16 +243,19 @@
     feed(old, RESPONSE)
     assert call(HttpPeer(PEER.address, 2))[0] is not old and call(PEER)[0] is old
     pool.drain_peer(PEER)
-    assert not transport.closed  # its call may end
+    assert not transport.closed  # its call may complete
     feed(old, RESPONSE)
-    assert transport.closed and ends == [HttpCallOutcome.ANSWERED] * 2
+    assert transport.closed and received_results == [HttpCallOutcome.ANSWERED] * 2
 
 
-def test_connection_pool_bytes_beyond_response_never_taken_for_next_response():
-    """A second copy that comes while the connection is idle, unread by the loop when the next call begins."""
+def test_connection_pool_surplus_bytes_are_never_read_as_next_response():
+    """Guards against reading a duplicate of a response as the next response.
 
-    async def play() -> None:
-        loop, clock, ends = asyncio.get_running_loop(), ManualClock(), list[int]()
+    The duplicate arrives on the idle connection, and the loop has not read it when the next call starts.
+    """
+
+    async def scenario() -> None:
+        loop, clock, received_results = asyncio.get_running_loop(), ManualClock(), list[int]()
         pool = HttpConnectionPool(
             loop, clock, TimerQueue(clock), SocketBudget(9), PoolTimeouts(CONNECT_TIMEOUT_MS, KEEP_ALIVE_MS)
         )
@@ -272,28 +275,28 @@
                 peer,
                 lambda: [name + b"\r\n"],
                 clock.now() + 9_000,
-                lambda end: ends.append(end.response.status if end.response else 0),
+                lambda result: received_results.append(result.response.status if result.response else 0),
             )
 
         call(b"one")
-        while len(ends) < 1:
+        while len(received_results) < 1:
             await asyncio.sleep(0)
         sock = writers[0].get_extra_info("socket")
-        os.write(sock.fileno(), RESPONSE)  # at once, so that the loop cannot have read it
+        os.write(sock.fileno(), RESPONSE)  # immediately, so that the loop cannot have read it
         call(b"two")
-        while len(ends) < 2:
+        while len(received_results) < 2:
             await asyncio.sleep(0)
-        assert ends == [200, 200] and seen == [b"one\r\n", b"two\r\n"]
+        assert received_results == [200, 200] and seen == [b"one\r\n", b"two\r\n"]
         server.close()
         for writer in writers:
             writer.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_connection_pool_unfinished_response_spoilt_after_limit_interim_one_not_counted():
+def test_connection_pool_incomplete_response_is_invalid_after_limit_without_interim_responses():
     clock, loop = ManualClock(), FakeLoop()
-    timers, ends = TimerQueue(clock), list[tuple[HttpCallOutcome, int]]()
+    timers, received_results = TimerQueue(clock), list[tuple[HttpCallOutcome, int]]()
     pool = HttpConnectionPool(
         loop, clock, timers, SocketBudget(9), PoolTimeouts(CONNECT_TIMEOUT_MS, KEEP_ALIVE_MS)
     )  # type: ignore[arg-type]
@@ -301,7 +304,7 @@
         PEER,
         lambda: [b"x"],
         clock.now() + 9_000,
-        lambda end: ends.append((end.outcome, end.first_line_status)),
+        lambda result: received_results.append((result.outcome, result.first_line_status)),
     )
     connection = call.connection
     assert connection is not None
@@ -318,21 +321,24 @@
     timers.run_due()
     assert connection._transport.closed
     connection.connection_lost(None)
-    assert ends == [(HttpCallOutcome.INVALID_RESPONSE, 200)]
+    assert received_results == [(HttpCallOutcome.INVALID_RESPONSE, 200)]
 
 
 def test_connection_pool_start_limit_passed_while_connecting_recalls_call():
-    """The connection comes up in the same turn in which the time is over, before the timer has fired."""
+    """Guards against a write after the start limit.
+
+    The connection is established in the cycle in which the limit passes, before its timer has fired.
+    """
     clock, loop = ManualClock(), FakeLoop()
     pool = HttpConnectionPool(
         loop, clock, TimerQueue(clock), SocketBudget(9), PoolTimeouts(CONNECT_TIMEOUT_MS, KEEP_ALIVE_MS)
     )  # type: ignore[arg-type]
-    ends: list[HttpCallOutcome] = []
+    received_results: list[HttpCallOutcome] = []
     call = pool.start_call(
         PEER,
         lambda: [b"x"],
         clock.now() + 9_000,
-        lambda end: ends.append(end.outcome),
+        lambda result: received_results.append(result.outcome),
         CallOptions(start_by_ms=clock.now() + 300),
     )
     assert call.connection is not None
@@ -341,13 +347,13 @@
     call.connection.connection_made(transport)
     assert transport.closed and not transport.written
     call.connection.connection_lost(None)
-    assert ends == [HttpCallOutcome.RECALLED]
+    assert received_results == [HttpCallOutcome.RECALLED]
 
 
-# Guards against a wait, or a delivery, in a response that crosses with the end of a call that is given up.
+# Guards against losing the backoff or delivery in a response that arrives just before its call is aborted.
 @pytest.mark.parametrize("has_response", [True, False])
-def test_call_given_up_reads_what_has_come_by_then(has_response: bool):
-    async def play() -> HttpCallResult:
+def test_aborted_call_reads_the_response_that_has_arrived(has_response: bool):
+    async def scenario() -> HttpCallResult:
         loop = asyncio.get_running_loop()
         clock = Clock()
         with socket.create_server(("127.0.0.1", 0)) as server:
@@ -359,17 +365,19 @@
             call = pool.start_call(peer, lambda: request, clock.now() + 5_000.0, ended.set_result)
             while call.connection is None or not call.connection.is_written:
                 await asyncio.sleep(0.001)
-            endpoint, _ = server.accept()  # from here to the end of the call the loop polls nothing
+            endpoint, _ = server.accept()  # from here on, the loop does not poll until the call ends
             with endpoint:
                 if has_response:
                     endpoint.sendall(
                         b"HTTP/1.1 429 no\r\nX-RateLimit-Wait-Ms: 300\r\nContent-Length: 0\r\n\r\n"
                     )
-                    assert select.select([file_descriptor_of(call)], [], [], 5.0)[0], "it has arrived"
+                    assert select.select([file_descriptor_of(call)], [], [], 5.0)[0], (
+                        "the response has arrived"
+                    )
                 call.cancel()
                 return await asyncio.wait_for(ended, 5.0)
 
-    result = asyncio.run(play())
+    result = asyncio.run(scenario())
     if has_response:
         assert result.outcome is HttpCallOutcome.ANSWERED and retry_after_ms(result) == 300.0
     else:
--- a/tests/test_net_discovery_watch.py
+++ b/tests/test_net_discovery_watch.py
@@ -1,4 +1,4 @@
-"""The discovery watch: lines, silence and moves."""
+"""The discovery watch: lines, silence and changes of address."""
 
 from __future__ import annotations
 
@@ -23,35 +23,35 @@
 
 
 def watch() -> tuple[ManualClock, TimerQueue, FakePool, list[api.EndpointsUpdated]]:
-    clock, connections, got = ManualClock(), FakePool(), list[api.EndpointsUpdated]()
+    clock, connections, updates = ManualClock(), FakePool(), list[api.EndpointsUpdated]()
     timers = TimerQueue(clock)
-    directory = EndpointDirectory(got.append)
+    directory = EndpointDirectory(updates.append)
     directory.apply(watch_event(5, endpoint_entry("s-1"), whole=True), api.UpdateScope.STALE)
     DiscoveryWatch(directory, connections, timers, PLATFORM).open()  # type: ignore[arg-type]
-    return clock, timers, connections, got
+    return clock, timers, connections, updates
 
 
-def test_discovery_watch_lines_split_anywhere_applied_from_version_held():
-    _, _, connections, got = watch()
+def test_discovery_watch_lines_split_anywhere_applied_from_stored_version():
+    _, _, connections, updates = watch()
     pieces, _, body = connections.calls[0]
     assert b"follow=1&since=5" in pieces[0] and body is not None
     raw = json.dumps(watch_event(6, endpoint_entry("s-1", health="draining"))).encode() + b"\n\n"
     for byte in raw:
         body(bytes([byte]))
-    assert [n.scope for n in got] == [api.UpdateScope.STALE, api.UpdateScope.CHANGES]
+    assert [update.scope for update in updates] == [api.UpdateScope.STALE, api.UpdateScope.CHANGES]
 
 
 def test_discovery_watch_silent_reopens_and_keeps_last_list():
-    clock, timers, connections, got = watch()
+    clock, timers, connections, updates = watch()
     for _ in range(2):
         clock.advance(SILENCE_LIMIT_MS + 1)
         timers.run_due()
         clock.advance(1_000)
         timers.run_due()
-    assert connections.cancelled == 2 and len(connections.calls) == 3 and len(got) == 1
+    assert connections.cancelled == 2 and len(connections.calls) == 3 and len(updates) == 1
 
 
-def test_discovery_watch_set_address_reopens_there_at_once_from_version_held():
+def test_discovery_watch_set_address_reopens_there_immediately_from_stored_version():
     clock, connections = ManualClock(), FakePool()
     timers, directory = TimerQueue(clock), EndpointDirectory(lambda event: None)
     directory.apply(watch_event(5, endpoint_entry("s-1"), whole=True))
@@ -63,9 +63,8 @@
     timers.run_due()
     head = connections.calls[1][0][0]
     assert connections.cancelled == 1 and b"since=5" in head and b"Host: 127.0.0.9:9\r\n" in head
-    connections.calls[1][1](
-        HttpCallResult(HttpCallOutcome.CONNECTION_LOST)
-    )  # between two watches it moves as well
+    # The address may also change between two watches.
+    connections.calls[1][1](HttpCallResult(HttpCallOutcome.CONNECTION_LOST))
     watch.set_address(PLATFORM)
     clock.advance(REOPEN_DELAY_MS)
     timers.run_due()
