--- a/winchspan/adapter.py
+++ b/winchspan/adapter.py
@@ -1,4 +1,4 @@
-"""Carries the wire's JSON lines to the decision module and back; it judges nothing."""
+"""Translates between the JSON lines of the simulator and the scheduler; contains no scheduling logic."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     6: api.Outcome.CANCELLED,
     7: api.Outcome.NOT_SENT,
 }
-_LISTINGS = {
+_STATUSES = {
     "in_service": api.EndpointStatus.IN_SERVICE,
     "terminating": api.EndpointStatus.DRAINING,
     "terminated": api.EndpointStatus.GONE,
@@ -42,42 +42,42 @@
 }
 
 
-def _row(row: dict[str, Any]) -> api.EndpointEntry:
-    """Translate one line of a list."""
+def _endpoint_entry(row: dict[str, Any]) -> api.EndpointEntry:
+    """Translate one row of an endpoint list."""
     return api.EndpointEntry(
         endpoint=read_integer(row, "endpoint"),
         destination=read_integer(row, "belongs_to"),
-        status=read_choice(_LISTINGS, row.get("availability", "in_service"), "availability"),
+        status=read_choice(_STATUSES, row.get("availability", "in_service"), "availability"),
         zone=read_field(row, "area", str, ""),
         kind=read_field(row, "type", str, ""),
         rating=read_finite_number(row, "rating", 1.0),
     )
 
 
-def _arrived(e: dict[str, Any]) -> api.Event:
+def _message_arrived(fields: dict[str, Any]) -> api.Event:
     """Translate an `Order`."""
-    tenant = e.get("customer") or ""
+    tenant = fields.get("customer") or ""
     return api.MessageArrived(
-        message=read_field(e, "corr", str),
-        class_name=read_field(e, "profile", str),
-        destination=read_integer(e, "terminates_at"),
-        remaining_ns=read_integer(e, "patience_left_ns"),
+        message=read_field(fields, "corr", str),
+        class_name=read_field(fields, "profile", str),
+        destination=read_integer(fields, "terminates_at"),
+        remaining_ns=read_integer(fields, "patience_left_ns"),
         tenant=str(tenant),
-        key=None if e.get("item") is None else read_integer(e, "item"),
+        key=None if fields.get("item") is None else read_integer(fields, "item"),
     )
 
 
-def _ended(e: dict[str, Any]) -> api.Event:
+def _attempt_completed(fields: dict[str, Any]) -> api.Event:
     """Translate a `Returned`."""
-    usage, outcome = read_object(e, "usage"), read_choice(_OUTCOMES, e.get("verdict"), "verdict")
-    wait = read_integer(e, "wait_ms", 0)
+    usage, outcome = read_object(fields, "usage"), read_choice(_OUTCOMES, fields.get("verdict"), "verdict")
+    wait = read_integer(fields, "wait_ms", 0)
     return api.AttemptCompleted(
-        message=read_field(e, "corr", str),
-        attempt=read_integer(e, "round_no"),
-        endpoint=read_integer(e, "endpoint"),
+        message=read_field(fields, "corr", str),
+        attempt=read_integer(fields, "round_no"),
+        endpoint=read_integer(fields, "endpoint"),
         outcome=outcome,
-        latency_ns=read_integer(e, "lag_ns", 0),
-        is_final=read_field(e, "last", bool, False),
+        latency_ns=read_integer(fields, "lag_ns", 0),
+        is_final=read_field(fields, "last", bool, False),
         wait_ns=wait * 1_000_000 if outcome is api.Outcome.FULL else 0,
         no_slot=outcome is api.Outcome.NOT_SENT and wait == 1,
         limit_remaining=read_finite_number(usage, "x0") if "x0" in usage else None,
@@ -86,78 +86,83 @@
 
 
 _EVENTS: dict[str, Callable[[dict[str, Any]], api.Event | None]] = {
-    "Order": _arrived,
-    "Returned": _ended,
-    "Elapsed": lambda e: api.TimerFired(read_integer(e, "ctx")),
-    "Dropped": lambda e: api.MessageWithdrawn(read_field(e, "corr", str)),
-    "FromPeer": lambda e: api.PeerNote(read_integer(e, "src"), bytes.fromhex(read_field(e, "bytes", str))),
-    "CheckResult": lambda e: None,
-    "HeadReceived": lambda e: None,
+    "Order": _message_arrived,
+    "Returned": _attempt_completed,
+    "Elapsed": lambda fields: api.TimerFired(read_integer(fields, "ctx")),
+    "Dropped": lambda fields: api.MessageWithdrawn(read_field(fields, "corr", str)),
+    "FromPeer": lambda fields: api.PeerNote(
+        read_integer(fields, "src"), bytes.fromhex(read_field(fields, "bytes", str))
+    ),
+    "CheckResult": lambda fields: None,
+    "HeadReceived": lambda fields: None,
 }
 
 
-def _to_wire(action: api.Command, instance: int) -> dict[str, Any]:
-    """Translate one action."""
-    me: dict[str, Any] = {"dispatcher": instance}
-    match action:
+def _to_wire(command: api.Command, instance: int) -> dict[str, Any]:
+    """Translate one command."""
+    header: dict[str, Any] = {"dispatcher": instance}
+    match command:
         case api.StartAttempt(message, endpoint, until):
-            return {"CallOut": me | {"corr": message, "endpoint": endpoint, "not_past_ns": until}}
+            return {"CallOut": header | {"corr": message, "endpoint": endpoint, "not_past_ns": until}}
         case api.RejectMessage(message, retry_after):
-            return {"Bounce": me | {"corr": message, "retry_after_ns": retry_after}}
+            return {"Bounce": header | {"corr": message, "retry_after_ns": retry_after}}
         case api.FailMessage(message):
-            return {"FinishError": me | {"corr": message}}
+            return {"FinishError": header | {"corr": message}}
         case api.CancelAttempt(message, attempt):
-            return {"Withdraw": me | {"corr": message, "round_no": attempt}}
+            return {"Withdraw": header | {"corr": message, "round_no": attempt}}
         case api.SetTimer(after, token):
-            return {"Timer": me | {"sleep_for_ns": after, "ctx": token}}
+            return {"Timer": header | {"sleep_for_ns": after, "ctx": token}}
         case api.RecallAttempts():
             raise ValueError("Recall is not on this wire; its settings do not allow it")
         case api.CloseIdleConnections(endpoint):
-            return {"DropConns": me | {"endpoint": endpoint}}
+            return {"DropConns": header | {"endpoint": endpoint}}
         case api.Subscribe():
-            return {"Watch": me | {"active": True}}
+            return {"Watch": header | {"active": True}}
         case api.SendPeerNote(data):
-            return {"MemoTo": me | {"addressee": None, "bytes": data.hex()}}
+            return {"MemoTo": header | {"addressee": None, "bytes": data.hex()}}
         case api.RecordSlowStart():
             raise ValueError("RecordSlowStart is not on this wire")
         case api.LogDecision(text):
-            return {"Remark": me | {"words": text}}
+            return {"Remark": header | {"words": text}}
 
 
 class Adapter:
-    """Hosts the instances of one process."""
+    """Hosts the scheduler instances of one process."""
 
     def __init__(self) -> None:
-        self._senders: dict[int, Scheduler] = {}
-        self._lists: dict[int, tuple[api.EndpointEntry, ...]] = {}
+        self._schedulers: dict[int, Scheduler] = {}
+        self._endpoint_lists: dict[int, tuple[api.EndpointEntry, ...]] = {}
 
-    def _act(self, now: int, instance: int, events: list[api.Event], out: list[dict[str, Any]]) -> None:
-        """Let one instance decide; an exception becomes its declared fault."""
+    def _handle_events(
+        self, now: int, instance: int, events: list[api.Event], wire_commands: list[dict[str, Any]]
+    ) -> None:
+        """Let one instance handle events; an exception is reported as its `Crash`."""
         try:
-            actions = self._senders[instance].handle(now, events)
-            wired = (action for action in actions if not isinstance(action, api.RecordSlowStart))
-            out.extend(_to_wire(action, instance) for action in wired)  # nothing outlasts an instance here
-        except Exception as err:  # the wire has a word for it
-            out.append({"Crash": {"dispatcher": instance, "words": f"{type(err).__name__}: {err}"}})
-
-    def _begin(self, body: dict[str, Any], instance: int, out: list[dict[str, Any]]) -> None:
-        """Start an instance; settings it cannot use become its declared fault."""
+            commands = self._schedulers[instance].handle(now, events)
+            # RecordSlowStart has no meaning here: no state survives an instance.
+            on_wire = (command for command in commands if not isinstance(command, api.RecordSlowStart))
+            wire_commands.extend(_to_wire(command, instance) for command in on_wire)
+        except Exception as err:  # reported on the wire
+            wire_commands.append({"Crash": {"dispatcher": instance, "words": f"{type(err).__name__}: {err}"}})
+
+    def _begin(self, body: dict[str, Any], instance: int, wire_commands: list[dict[str, Any]]) -> None:
+        """Start an instance; invalid settings are reported as its `Crash`."""
         info = read_field(body, "info", dict)
         try:
-            self._senders[instance] = Scheduler(settings_from_wire(info), read_integer(body, "nonce64"))
+            self._schedulers[instance] = Scheduler(settings_from_wire(info), read_integer(body, "nonce64"))
         except ValueError as err:
-            self._senders.pop(instance, None)
-            out.append({"Crash": {"dispatcher": instance, "words": f"settings: {err}"}})
+            self._schedulers.pop(instance, None)
+            wire_commands.append({"Crash": {"dispatcher": instance, "words": f"settings: {err}"}})
 
     def reply(self, line: str) -> str:
-        """Answer one batch."""
+        """Return the reply to one batch of events."""
         try:
             batch = json.loads(line)
         except ValueError as err:
             raise FieldError(f"not JSON: {err}") from None
         if not isinstance(batch, dict):
             raise FieldError("a batch must be an object")
-        now, out = read_integer(batch, "ts_ns"), list[dict[str, Any]]()
+        now, wire_commands = read_integer(batch, "ts_ns"), list[dict[str, Any]]()
         pending: dict[int, list[api.Event]] = {}
         for item in read_field(batch, "news", list):
             if not isinstance(item, dict) or len(item) != 1:
@@ -166,38 +171,38 @@
             if not isinstance(body, dict):
                 raise FieldError(f"event {name!r}: its fields must be an object")
             try:
-                self._event(now, name, body, pending, out)
+                self._process_event(now, name, body, pending, wire_commands)
             except FieldError as err:
                 raise FieldError(f"event {name!r}: {err}") from None
             except (ValueError, TypeError, AttributeError, OverflowError) as err:
                 raise FieldError(f"event {name!r}: a field has the wrong type or value: {err}") from None
         for instance, events in pending.items():
-            self._act(now, instance, events, out)
-        return json.dumps({"cmds": out}, separators=(",", ":"))
+            self._handle_events(now, instance, events, wire_commands)
+        return json.dumps({"cmds": wire_commands}, separators=(",", ":"))
 
-    def _event(
+    def _process_event(
         self,
         now: int,
         name: str,
         body: dict[str, Any],
         pending: dict[int, list[api.Event]],
-        out: list[dict[str, Any]],
+        wire_commands: list[dict[str, Any]],
     ) -> None:
-        """Take one event of a batch, in order."""
+        """Handle one event of a batch, or add it to those pending for its instance."""
         if name == "Inventory":
-            self._lists[read_integer(body, "roster_id")] = tuple(
-                _row(row) for row in read_field(body, "rows", list)
+            self._endpoint_lists[read_integer(body, "roster_id")] = tuple(
+                _endpoint_entry(row) for row in read_field(body, "rows", list)
             )
             return
         if name not in _EVENTS and name not in ("Begin", "Update", "Detach"):
             raise FieldError("unknown")
         instance = read_integer(body, "dispatcher")
         if name == "Detach":
-            self._senders.pop(instance, None)
+            self._schedulers.pop(instance, None)
             pending.pop(instance, None)
         elif name == "Begin":
             pending.pop(instance, None)
-            self._begin(body, instance, out)
+            self._begin(body, instance, wire_commands)
         else:
             event: api.Event | None
             if name == "Update":
@@ -205,29 +210,29 @@
                 rows = (
                     ()
                     if scope is api.UpdateScope.FAILED
-                    else self._lists.get(read_integer(body, "roster_id"))
+                    else self._endpoint_lists.get(read_integer(body, "roster_id"))
                 )
                 if rows is None:
                     raise FieldError("names a list that was never given")
                 event = api.EndpointsUpdated(scope, rows)
             else:
                 event = _EVENTS[name](body)
-            if instance in self._senders and event is not None:
+            if instance in self._schedulers and event is not None:
                 pending.setdefault(instance, []).append(event)
 
 
 def main(lines: TextIO, replies: TextIO) -> int:
-    """Answer batches until the input ends."""
+    """Reply to batches until the end of the input."""
     adapter = Adapter()
     for line in lines:
         if not line.strip():
             continue
         try:
-            answer = adapter.reply(line)
+            reply = adapter.reply(line)
         except FieldError as err:
             print(f"winchspan.adapter: {err}", file=sys.stderr)
             return 1
-        replies.write(answer + "\n")
+        replies.write(reply + "\n")
         replies.flush()
     return 0
 
--- a/winchspan/api/__init__.py
+++ b/winchspan/api/__init__.py
@@ -1,4 +1,4 @@
-"""The settings, events and commands of the scheduler, and its port to overload control."""
+"""The settings, events and commands of the scheduler, and its interface to overload control."""
 
 from __future__ import annotations
 
--- a/winchspan/api/commands.py
+++ b/winchspan/api/commands.py
@@ -1,4 +1,4 @@
-"""What to do: the commands that a scheduler returns. All times are integer nanoseconds."""
+"""The commands that a scheduler returns. All times are integer nanoseconds."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class CallPacing(Enum):
-    """Why a call was let through, for the people on call."""
+    """Why a call was let through; shown to operators."""
 
     UNPACED = "unpaced"
     SUSPECTED = "suspected"
@@ -24,10 +24,10 @@
 
     Attributes:
         message: the message's id.
-        endpoint: where to send it.
-        abandon_at_ns: the clock reading at which it is abandoned.
-        send_before_ns: the clock reading before which it must be sent, or it ends NOT_SENT; 0: no limit.
-        pacing: what its endpoint was held to be when it was let through.
+        endpoint: the number of the endpoint.
+        abandon_at_ns: the clock reading at which the attempt is abandoned.
+        send_before_ns: the clock reading before which it must be sent, or else it ends NOT_SENT; 0: no limit.
+        pacing: why the attempt was let through.
     """
 
     message: str
@@ -39,23 +39,23 @@
 
 @dataclass(slots=True, frozen=True)
 class RejectMessage:
-    """Final answer: rejected; to submit it again after `retry_after_ns` is harmless."""
+    """Final answer: the message is rejected; the client may safely resubmit it after `retry_after_ns`."""
 
     message: str
     retry_after_ns: int = 0
-    reason: str = ""  # for people; the form of an answer may have no place for it
+    reason: str = ""  # for people; not every answer format carries it
 
 
 @dataclass(slots=True, frozen=True)
 class FailMessage:
-    """Final answer: failed; it is not known whether it took effect."""
+    """Final answer: the message failed; whether it took effect is unknown."""
 
     message: str
 
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Stop waiting for one attempt."""
+    """Stop waiting for the result of an attempt."""
 
     message: str
     attempt: int
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a `TimerFired` after `after_ns`."""
+    """Request a `TimerFired` event after `after_ns`."""
 
     after_ns: int
     token: int
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RecallAttempts:
-    """Recall the attempts to an endpoint that have not been written completely; they end NOT_SENT."""
+    """Recall the attempts to an endpoint whose requests are not written completely; they end NOT_SENT."""
 
     endpoint: int
 
@@ -97,13 +97,13 @@
 
 @dataclass(slots=True, frozen=True)
 class RecordSlowStart:
-    """Keep for the next incarnation what a destination is held to be.
+    """Record the slow start phase of a destination for the next incarnation.
 
     Attributes:
-        destination: its number.
-        phase: what it is held to be.
-        since_ns: the clock reading since when.
-        calls_per_s: this sender's part of the demand there.
+        destination: the number of the destination.
+        phase: its phase.
+        since_ns: the clock reading at which the phase began.
+        calls_per_s: this sender's share of the demand on the destination.
     """
 
     destination: int
@@ -114,7 +114,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LogDecision:
-    """Log a decision for the people on call."""
+    """Log a decision for operators."""
 
     text: str
 
--- a/winchspan/api/events.py
+++ b/winchspan/api/events.py
@@ -1,4 +1,4 @@
-"""What happened: the events that a scheduler handles. All times are integer nanoseconds."""
+"""The events that a scheduler handles. All times are integer nanoseconds."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointEntry:
-    """One entry of the endpoint list; `rating` is a rate in calls a second where the settings say so."""
+    """One entry of the endpoint list; `rating` is in calls a second if `Settings.listed_rate` is not NONE."""
 
     endpoint: int
     destination: int
@@ -18,12 +18,12 @@
     zone: str = ""
     kind: str = ""
     rating: float = 1.0
-    needs_slow_start: bool = False  # it returns, and has not been sent anything meanwhile
+    needs_slow_start: bool = False  # it returns to service, and got no calls meanwhile
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointsUpdated:
-    """The endpoint list was received, or changes of it."""
+    """The endpoint list, or changes to it, were received."""
 
     scope: UpdateScope
     rows: tuple[EndpointEntry, ...] = ()
@@ -39,21 +39,21 @@
     remaining_ns: int
     tenant: str = ""
     key: int | None = None
-    is_repeated: bool = False  # submitted again after a rejection, as far as anybody can know
-    is_lowest_priority: bool = False  # goes after all others of its destination, and is given up before them
+    is_repeated: bool = False  # the client marks it as submitted again after a rejection
+    is_lowest_priority: bool = False  # sent after all others of its destination, rejected first
 
 
 @dataclass(slots=True, frozen=True)
 class MessageRecovered:
-    """A message was recovered that the previous incarnation accepted, in the order of acceptance.
+    """A message that the previous incarnation accepted was recovered; in the order of acceptance.
 
     Attributes:
-        arrived: the message, with the time that is left of it.
-        attempts: how many attempts it has had; they count on.
-        executed_ago_ns: the time since the sending of the first attempt that may have run; None: none has.
-        executed_zone: the zone of that attempt.
+        arrived: the message, with its remaining time.
+        attempts: the number of attempts so far; the numbering continues from it.
+        executed_ago_ns: the time since the first possibly executed attempt was sent; None: there is none.
+        executed_zone: the zone to which that attempt was sent.
         was_in_flight: whether an attempt was in flight at the end of the previous incarnation.
-        is_completed: whether its final answer has been given, but not been acknowledged.
+        is_completed: whether its final answer was given, but has not been acknowledged.
     """
 
     arrived: MessageArrived
@@ -66,13 +66,13 @@
 
 @dataclass(slots=True, frozen=True)
 class SlowStartRecovered:
-    """The previous incarnation held a destination to be out, or in a slow start.
+    """The slow start phase of a destination in the previous incarnation was recovered.
 
     Attributes:
-        destination: its number.
-        phase: what it was held to be.
-        elapsed_ns: the time since that began.
-        calls_per_s: the sender's part of the demand there.
+        destination: the number of the destination.
+        phase: its phase.
+        elapsed_ns: the time since the phase began.
+        calls_per_s: the sender's share of the demand on the destination.
     """
 
     destination: int
@@ -90,19 +90,19 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptCompleted:
-    """An attempt ended.
+    """An attempt was completed.
 
     Attributes:
         message: the message's id.
-        attempt: its number, counted from 0 for each message.
-        endpoint: the endpoint that it went to.
-        outcome: how it ended.
-        latency_ns: how long it took.
-        is_final: whether the message is completed with it, or was before.
-        wait_ns: how long to send nothing there, as the answer states (Retry-After); 0: not stated.
-        no_slot: whether it was rejected for want of a call slot.
-        limit_remaining: calls left of the rate limit, as the answer states; None: not stated.
-        limit_rate: calls a second of the rate limit, as the answer states; None: not stated.
+        attempt: the attempt number, counted from 0 for each message.
+        endpoint: the endpoint to which it was sent.
+        outcome: the result.
+        latency_ns: its duration.
+        is_final: whether the message is completed, by this attempt or before it.
+        wait_ns: the pause that the response requests (Retry-After); 0: not stated.
+        no_slot: whether it was not sent because no call slot was free.
+        limit_remaining: the remaining calls of the rate limit that the response states; None: not stated.
+        limit_rate: the rate limit in calls a second that the response states; None: not stated.
     """
 
     message: str
@@ -119,14 +119,14 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer that was set with `SetTimer` is due."""
+    """A timer that was set with `SetTimer` has expired."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class MessageWithdrawn:
-    """The client no longer wants the message; nothing more is owed for it."""
+    """The client withdrew the message; it needs no final answer."""
 
     message: str
 
--- a/winchspan/api/settings.py
+++ b/winchspan/api/settings.py
@@ -1,4 +1,4 @@
-"""The configuration of a scheduler, and the choices that settings, events and commands have in common.
+"""The settings of a scheduler, and the enumerations that settings, events and commands share.
 
 All times are integer nanoseconds: durations, or readings of the scheduler's clock.
 """
@@ -12,7 +12,7 @@
 
 
 class Effect(Enum):
-    """What a second delivery of a message does at its destination."""
+    """The effect of a duplicate delivery of a message at its destination."""
 
     REPEATABLE = "repeatable"
     KEYED = "keyed"
@@ -41,7 +41,7 @@
 
 
 class UpdateScope(Enum):
-    """How an update of the endpoint list relates to the list known before."""
+    """How an update of the endpoint list relates to the previous list."""
 
     CHANGES = "changes"
     SNAPSHOT = "whole"
@@ -50,7 +50,7 @@
 
 
 class SlowStartPhase(Enum):
-    """What a sender holds the capacity of a destination to be."""
+    """The state of a destination's capacity, as a sender sees it."""
 
     HEALTHY = "healthy"
     OUTAGE = "outage"
@@ -58,7 +58,7 @@
 
 
 class ListedRate(Enum):
-    """What the rating in the endpoint list states: nothing, or a rate limit."""
+    """Whether the rating in the endpoint list is a rate limit, and whether that is exact."""
 
     NONE = "none"
     EXACT = "exact"
@@ -71,15 +71,15 @@
 
     Attributes:
         name: its name in the settings and in events.
-        worth: the priority weight: worth of a delivery within the latency objective.
-        latency_objective_ns: the latency objective.
-        deadline_ns: the time within which a final answer is owed.
-        late_worth: the part of the worth that is left at the deadline.
-        effect: what a second delivery does.
-        dedup_ns: the deduplication window of a keyed message, from the first attempt that ran.
-        dedup_per_zone: whether repeats are dropped within a zone only.
-        ordered: whether messages with the same key go one after another.
-        max_attempts: how many attempts a message of it may have; 0: as the settings say for all.
+        worth: the priority weight: the value of a delivery within the latency objective.
+        latency_objective_ns: the latency objective of a delivery.
+        deadline_ns: the time within which the client must get a final answer.
+        late_worth: the fraction of the worth that remains at the deadline.
+        effect: the effect of a duplicate delivery.
+        dedup_ns: the deduplication window of a keyed message, from its first executed attempt.
+        dedup_per_zone: whether duplicates are detected within a zone only.
+        ordered: whether messages with the same key are sent one after another.
+        max_attempts: upper bound on the attempts of a message; 0: the limit of the settings applies.
     """
 
     name: str
@@ -100,7 +100,7 @@
 
     Attributes:
         has_separate_routes: whether its endpoints are separate routes, each with a rate limit of its own.
-        messages_per_call: how many messages a call may hold.
+        messages_per_call: upper bound on the messages of a call.
     """
 
     has_separate_routes: bool = False
@@ -112,7 +112,7 @@
     """A customer.
 
     Attributes:
-        allowance_per_s: the messages a second, over all senders, that are within its share; None: not stated.
+        allowance_per_s: the messages a second, over all senders, that it may submit; None: not stated.
     """
 
     allowance_per_s: float | None = None
@@ -134,7 +134,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """The configuration of a scheduler. Only the classes and slots are required."""
+    """The settings of a scheduler. Only the classes and slots are required.
+
+    Attributes:
+        slots: calls that may be in flight at once.
+        max_held: messages that the sender may hold.
+        senders: the number of senders that share the destinations.
+        me: the index of this sender.
+        start_capacity: the fraction of its capacity that a destination has at its return from an outage.
+        cold_ns: the time in which a returning destination warms up to its full capacity.
+        fall_multiple: calls that a returning destination tolerates, as a multiple of its capacity.
+        tip_after_ns: the length of the window over which these calls are counted.
+        key_rest_ns: how long no first attempt of a key is made after an attempt that may have been executed.
+    """
 
     classes: Mapping[str, MessageClass]
     slots: int
@@ -154,7 +166,7 @@
     can_cancel: bool = False
     can_notify_peers: bool = False
     must_subscribe: bool = False
-    responses_report_load: bool = False  # whether answers hold load reports
+    responses_report_load: bool = False  # whether responses carry load reports
     max_retry_after_ns: int = 0
     connect_timeout_ns: int = 1_000_000_000
     keepalive_ns: int = 5_000_000_000
@@ -171,7 +183,7 @@
     notifications_are_acknowledged: bool = False  # the next message of the key waits for the acknowledgement
 
     def __post_init__(self) -> None:
-        """Raise a ValueError that names the first setting that cannot be used."""
+        """Raise a ValueError that names the first invalid setting."""
         _check_classes(self.classes)
         for name, kind in self.kinds.items():
             if kind.messages_per_call < 1:
--- a/winchspan/application/__init__.py
+++ b/winchspan/application/__init__.py
@@ -1,1 +1,1 @@
-"""The composition root: builds the components of a courier and runs their lifecycle."""
+"""The composition root: builds a courier's components and runs their lifecycle."""
--- a/winchspan/application/application.py
+++ b/winchspan/application/application.py
@@ -1,4 +1,4 @@
-"""The composition root of one courier: builds its engine on its resources, and runs its lifecycle."""
+"""The composition root of one courier: builds its engine and components, and runs its lifecycle."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessContext:
-    """What a process brings along when it starts.
+    """Resources with which a process starts.
 
     Attributes:
-        system: clock, disk and sockets.
-        inherited: what the process before has handed over.
-        listener: the clients' listening socket, where the platform holds it.
-        read_operator_options: reads the operator's file again at SIGHUP; raises ConfigError.
+        system: the interface to clock, disk and sockets.
+        inherited: state handed over by the previous process, if any.
+        listener: the clients' listening socket, if the platform provides it.
+        read_operator_options: rereads the operator's file at SIGHUP; may raise ConfigError.
     """
 
     system: System
@@ -46,13 +46,13 @@
 
 
 def _log_unhandled_error(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Log an error that nothing caught: it ends one connection at most."""
+    """Log an unhandled error, which ends at most one connection."""
     del loop
     logger.error("{}: {!r}", context.get("message"), context.get("exception"))
 
 
 class Application:
-    """One courier: its resources, its engine, its connections and its optional components."""
+    """One courier: resources, engine, connections and optional components."""
 
     def __init__(
         self,
@@ -62,14 +62,14 @@
         create_components: ComponentFactory,
         context: ProcessContext,
     ) -> None:
-        """Build all parts.
+        """Build all parts of the courier.
 
         Args:
             config: the platform's configuration.
             loop: the event loop of the process.
-            operator: the operator's file.
+            operator: the options of the operator's file.
             create_components: creates the optional components.
-            context: what the process brings along.
+            context: the resources with which the process starts.
 
         Raises:
             ConfigError: if a section of the operator's file cannot be used here.
@@ -101,7 +101,7 @@
 
     @property
     def components(self) -> list[Component]:
-        """The optional components, in the order in which all are called."""
+        """The optional components, in the order in which they are called."""
         return self._selection.components
 
     def _process_control(self) -> ProcessControl:
@@ -115,9 +115,9 @@
             abort=self._abort,
         )
 
-    # ---- what operators and an upgrade use ---------------------------------------------------------------
+    # ---- operators and upgrades --------------------------------------------------------------------------
     def hand_over_components(self) -> CourierComponents:
-        """Return all parts whose state an upgrade moves to another process."""
+        """Return all parts whose state an upgrade transfers to another process."""
         from winchspan.upgrade.courier_components import CourierComponents
 
         resources = self._resources
@@ -137,26 +137,26 @@
         return spare_descriptor_count(self.config, self._resources.sockets.open_count)
 
     def _complete_hand_over(self) -> None:
-        """End this process: another one serves in its place now."""
+        """End this process, because another one serves in its place."""
         self._context.system.unlock_directory()
         self._is_handed_over = True
         self._ended.set()
 
     def operations(self) -> Operations:
-        """Return what operators can ask for."""
+        """Return the operations that operators can request."""
         from winchspan.admin.operations import Operations
 
         return Operations(self._resources.directory, self._clients, self.render_metrics, self._serving_state)
 
     def status(self) -> dict[str, Any]:
-        """Return the status document: what is held, what is in flight, and each component's part."""
+        """Return the status document: held messages, attempts in flight, and each component's entries."""
         document = self.engine.status()
         for component in self.components:
             document |= component.status()
         return document
 
     def _serving_state(self) -> ServingState:
-        """Return whether this process serves; if not, why."""
+        """Return whether this process is starting, serving or stopping."""
         from winchspan.admin.operations import ServingState
 
         if self._clients.is_stopping or self._is_handing_over():
@@ -164,7 +164,7 @@
         return ServingState.SERVING if self._is_serving else ServingState.STARTING
 
     def render_metrics(self) -> str:
-        """Return the metrics of this moment as text."""
+        """Return the current metrics as text."""
         listed = self._resources.directory.listed_endpoint_numbers()
         gauges: dict[str, int] = {
             "current": self.engine.held_count,
@@ -177,10 +177,10 @@
 
     # ---- lifecycle ---------------------------------------------------------------------------------------
     def crash(self) -> None:
-        """Release open files as the system does when a process is killed; for emulated machines."""
+        """Release open files as when the process is killed; for emulated machines."""
         if self._ended.is_set():
             return
-        self._resources.journal.abandon()
+        self._resources.journal.close_without_flush()
         for component in self.components:
             component.crash()
 
@@ -188,7 +188,7 @@
         """Serve until stopped.
 
         Raises:
-            ConfigError: if the data directory proves unusable while the process serves.
+            ConfigError: if the data directory turns out to be unusable while the process serves.
             OSError: if a file or a socket cannot be opened.
         """
         state = self._context.inherited.state if self._context.inherited is not None else None
@@ -205,18 +205,18 @@
         await self._close()
 
     def _apply_known_endpoints(self) -> None:
-        """Take the endpoints of the configuration until discovery tells what is so."""
+        """Use the endpoints of the configuration until discovery reports the current ones."""
         try:
             self._resources.directory.apply(self.config.known_endpoints, api.UpdateScope.STALE)
         except FieldError as err:
             logger.error("known: {}", err)
 
     def _recover(self) -> None:
-        """Continue with the state of the process before, or with the journal's."""
+        """Restore the state of the previous process, or recover it from the journal."""
         inherited = self._context.inherited
         if inherited is not None and inherited.state is not None:
             self._restore_inherited(inherited)
-        elif self._selection.replication is None:  # else once the journal is known to be this courier's
+        elif self._selection.replication is None:  # with replication, once this courier owns the journal
             self.engine.suspend(True)
             self.engine.recover()
             resources = self._resources
@@ -230,7 +230,7 @@
             component.on_state_restored(self.engine.overload_control)
 
     def _on_discovery_settled(self) -> None:
-        if not self._is_handing_over():  # a hand-over resumes what it has stopped
+        if not self._is_handing_over():  # a hand-over resumes the engine itself
             self.engine.suspend(False)
 
     def _start_serving(self) -> None:
@@ -244,20 +244,20 @@
         self._is_serving = True
 
     async def _close(self) -> None:
-        if not self._is_handed_over:  # else the connections are another process's
+        if not self._is_handed_over:  # otherwise another process owns the connections
             self.engine.freeze()
-            self._resources.connections.recall_all_unwritten()  # not run: the next process may try them
-            await asyncio.sleep(0)  # the calls' results arrive in the next tick
+            self._resources.connections.recall_all_unwritten()  # the next process may attempt them
+            await asyncio.sleep(0)  # the calls' results arrive in the next loop iteration
             await self._clients.close_all()
         for component in self.components:
             component.close()
         self._resources.journal.close()
-        logger.info("{} ends", self.config.name)
+        logger.info("{} has stopped", self.config.name)
         if self._abort_reason:
             raise ConfigError(self._abort_reason)
 
     def _abort(self, reason: str) -> None:
-        """End this process: what it was started with proves unusable only now."""
+        """End this process, because its configuration or data directory turns out to be unusable."""
         logger.error("{}", reason)
         self._abort_reason = self._abort_reason or reason
         self.engine.suspend(True)
@@ -265,13 +265,13 @@
 
     # ---- signals -----------------------------------------------------------------------------------------
     def reload(self) -> None:
-        """Read the configuration again; one that cannot be used changes nothing."""
+        """Reload the configuration; an unusable one changes nothing."""
         metrics = self._resources.metrics
         try:
             config = reload_platform_config(self._context.system.environ, self.config)
         except ConfigError as err:
             metrics.config_invalid_count += 1
-            logger.error("SIGHUP: the old configuration goes on: {}", err)
+            logger.error("SIGHUP: the previous configuration stays in force: {}", err)
             return
         metrics.config_loaded_count += 1
         if config.settings != self.config.settings:
@@ -289,10 +289,10 @@
             for component in self.components if operator else ():
                 component.reload_options(operator)
         except ConfigError as err:
-            logger.error("SIGHUP: the operator's file goes on as it was: {}", err)
+            logger.error("SIGHUP: the previous operator options stay in force: {}", err)
 
     def _reconfigure(self, platform_settings: api.Settings) -> None:
-        """Apply new settings everywhere in one step."""
+        """Apply new settings to all parts in one step."""
         resources = self._resources
         settings = engine_settings(platform_settings)
         self.engine.reconfigure(settings)
@@ -322,7 +322,7 @@
         return any(component.is_handing_over for component in self.components)
 
     def _is_busy(self) -> bool:
-        """Whether there is work left that this process may still do."""
+        """Return whether this process has work left."""
         return (
             self.engine.is_busy
             or len(self._resources.notifications) > 0
--- a/winchspan/application/assembly.py
+++ b/winchspan/application/assembly.py
@@ -1,4 +1,4 @@
-"""Builds the delivery engine and the clients' connections on a courier's resources."""
+"""Builds the delivery engine and the client connections from a courier's resources."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def reports_reasons(resources: CourierResources) -> bool:
-    """Return whether clients and the platform receive reasons in words."""
+    """Return whether rejections and notifications include a reason for people."""
     options = resources.operator.get("storms", {})
     return bool(options.get("on") and options.get("words"))
 
@@ -41,7 +41,7 @@
 def create_client_connections(
     engine: DeliveryEngine, resources: CourierResources, selection: ComponentSelection
 ) -> ClientConnections:
-    """Create the clients' connections, closed."""
+    """Create the client connections, not listening yet."""
     return ClientConnections(
         engine,
         resources.clock,
--- a/winchspan/application/capacity.py
+++ b/winchspan/application/capacity.py
@@ -1,4 +1,4 @@
-"""How a courier divides its limits of disk space and file descriptors among its parts."""
+"""Division of a courier's limits on disk space and file descriptors among its parts."""
 
 from __future__ import annotations
 
@@ -10,20 +10,18 @@
 if TYPE_CHECKING:
     from winchspan.application.component import OperatorOptions
 
-ADMIN_DESCRIPTOR_COUNT: Final = 18  # the operators' listening socket, 16 connections, one being accepted
+ADMIN_DESCRIPTOR_COUNT: Final = 18  # the listening socket, 16 connections, one being accepted
 OWN_DESCRIPTOR_COUNT: Final = 16  # standard streams, the event loop, the journal, the listening socket
-CONSENSUS_STORE_BYTES: Final = (
-    512 * 1024
-)  # the largest size of a consensus store's files (consensus/store.py)
+CONSENSUS_STORE_BYTES: Final = 512 * 1024  # maximum size of a consensus store's files (consensus/store.py)
 
 
 def is_cluster_enabled(operator: OperatorOptions) -> bool:
-    """Return whether the operator's file switches the cluster on."""
+    """Return whether the operator's file enables the cluster."""
     return bool(operator.get("fleet", {}).get("on"))
 
 
 def journal_capacity_bytes(config: PlatformConfig, operator: OperatorOptions) -> int:
-    """Return the disk space left for the journal beside the cluster's files in the same directory."""
+    """Return the disk space for the journal, without that of the cluster's files in its directory."""
     if not is_cluster_enabled(operator):
         return config.max_disk_bytes
     from winchspan.config.operator.fleet_section import needs_consensus, replica_quota_bytes
@@ -34,17 +32,17 @@
 
 
 def connection_capacity(config: PlatformConfig, operator: OperatorOptions) -> int:
-    """Return how many descriptors are left for connections to clients and endpoints."""
+    """Return the number of descriptors for connections to clients and endpoints."""
     admin_count = ADMIN_DESCRIPTOR_COUNT if config.admin_address else 0
     cluster_count = int(is_cluster_enabled(operator))
     return config.max_sockets - (OWN_DESCRIPTOR_COUNT + admin_count + cluster_count)
 
 
 def max_client_connections(capacity: int, settings: api.Settings) -> int:
-    """Return how many clients may be connected; the rest is for connections to endpoints."""
+    """Return the maximum number of client connections; the rest is for connections to endpoints."""
     return max(capacity // 2, capacity - settings.slots - 4)
 
 
 def spare_descriptor_count(config: PlatformConfig, open_count: int) -> int:
-    """Return how many descriptors are left when two processes share the limit during an upgrade."""
+    """Return the number of unused descriptors while two processes share the limit during an upgrade."""
     return config.max_sockets - open_count - 2 * (OWN_DESCRIPTOR_COUNT + ADMIN_DESCRIPTOR_COUNT)
--- a/winchspan/application/component.py
+++ b/winchspan/application/component.py
@@ -22,36 +22,36 @@
     """
 
     def attach_engine(self, engine: DeliveryEngine) -> None:
-        """Take the delivery engine, which is built after the components that provide its ports."""
+        """Set the delivery engine, which is built after the components that provide its ports."""
 
     def prepare(self) -> None:
-        """Start what must answer before recovery.
+        """Start services that must be available before recovery.
 
         Raises:
             OSError: if a socket cannot be opened.
         """
 
     def on_state_restored(self, overload_control: api.OverloadControl) -> None:
-        """Continue with the state of the process before, which may bring its own overload control."""
+        """Continue after an upgrade, with the overload control that is now in force."""
 
     async def start(self) -> None:
-        """Start.
+        """Start the component after recovery.
 
         Raises:
             OSError: if a file or a socket cannot be opened.
         """
 
     def on_serving(self) -> None:
-        """Start what depends on clients being admitted."""
+        """Start services that require that clients are admitted."""
 
     def reconfigure(self, settings: api.Settings) -> None:
         """Apply new settings."""
 
     def reload_options(self, operator: OperatorOptions) -> None:
-        """Apply the operator's file, which was read again.
+        """Apply the options of the reloaded operator's file.
 
         Raises:
-            ConfigError: if it cannot be applied; the component then continues unchanged.
+            ConfigError: if they cannot be applied; the component then continues unchanged.
         """
 
     def request_stop(self) -> bool:
@@ -60,7 +60,7 @@
 
     @property
     def is_handing_over(self) -> bool:
-        """Whether a hand-over keeps the courier from serving now."""
+        """Whether a hand-over is in progress, during which the courier does not serve."""
         return False
 
     @property
@@ -80,4 +80,4 @@
         """Release all resources at the end of the process."""
 
     def crash(self) -> None:
-        """Release open files as the system does when a process is killed; for emulated machines."""
+        """Release open files as when the process is killed; for emulated machines."""
--- a/winchspan/application/components.py
+++ b/winchspan/application/components.py
@@ -1,4 +1,4 @@
-"""The optional components of a courier; each imports its packages only when it is switched on."""
+"""The optional components of a courier; each imports its packages only if it is enabled."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class OverloadComponent(Component):
-    """The report of the overload control, which itself is a port of the engine."""
+    """Reports of the overload control, which itself is a port of the engine."""
 
     def __init__(self, report: OverloadReport, loop: asyncio.AbstractEventLoop) -> None:
         self._report = report
@@ -42,7 +42,7 @@
         report.start()
 
     def prepare(self) -> None:
-        """Write the counters at each SIGUSR1."""
+        """Write the metrics at each SIGUSR1."""
         self._loop.add_signal_handler(signal.SIGUSR1, self._report.write_metrics)
 
     def on_state_restored(self, overload_control: api.OverloadControl) -> None:
@@ -61,7 +61,9 @@
         clock: Clock,
         timers: TimerQueue,
     ) -> None:
-        self.redelivery_rate: RedeliveryRateLimiter | None = None  # a cluster's, in place of the rules' own
+        self.redelivery_rate: RedeliveryRateLimiter | None = (
+            None  # set by a cluster, in place of the rules' rate
+        )
         self._archiver = archiver
         self._rules = rules
         self._classes = classes
@@ -70,11 +72,11 @@
         self._engine: DeliveryEngine
 
     def attach_engine(self, engine: DeliveryEngine) -> None:
-        """Take the engine to which messages are given again."""
+        """Set the engine that redelivers messages."""
         self._engine = engine
 
     async def start(self) -> None:
-        """Start redelivery; without a rule, only of what operators ask for."""
+        """Start redelivery; without a rule, only messages that operators release are redelivered."""
         from winchspan.dead_letters.policy import RedeliveryPolicy
         from winchspan.dead_letters.redelivery import RedeliveryPorts, RedeliveryWorker
 
@@ -130,14 +132,14 @@
 
 
 class DeadLetterAccess(NamedTuple):
-    """What the control commands use of the archive of undelivered messages."""
+    """The archive of undelivered messages, and its policy, for the control commands."""
 
     archiver: DeadLetterArchiver
-    context: RedeliveryPolicy
+    policy: RedeliveryPolicy
 
 
 class ControlComponent(Component):
-    """The control socket; a courier that cannot open it continues without."""
+    """The control socket; a courier that cannot open it continues without it."""
 
     def __init__(
         self,
@@ -159,8 +161,8 @@
         from winchspan.control.commands import build_commands
         from winchspan.control.server import ControlServer
 
-        archiver, context = self._dead_letters or (None, None)
-        commands = build_commands(self._process, archiver, self._clock, context, self._process.operations())
+        archiver, policy = self._dead_letters or (None, None)
+        commands = build_commands(self._process, archiver, self._clock, policy, self._process.operations())
         server = ControlServer(self._path, commands, self._timers)
         try:
             await server.start()
@@ -176,7 +178,7 @@
 
 
 class UpgradeComponent(Component):
-    """The hand-over to a new process; a courier that cannot listen for one continues without."""
+    """The hand-over to a new process; a courier that cannot listen for one continues without it."""
 
     def __init__(
         self, state_directory: Path, clock: Clock, loop: asyncio.AbstractEventLoop, process: ProcessControl
@@ -227,23 +229,23 @@
 
 
 def create_components(resources: CourierResources, process: ProcessControl) -> ComponentSelection:
-    """Create the components that the operator's file and the platform ask for, in the order of their calls.
+    """Create the components that the operator's file and the platform enable, in the order of their calls.
 
     Raises:
-        ConfigError: if a section cannot be used here.
+        ConfigError: if a section of the operator's file cannot be used on this platform.
     """
     operator, config = resources.operator, resources.config
     selection = ComponentSelection()
-    if _is_on(operator, "storms"):
+    if _is_enabled(operator, "storms"):
         _add_overload(resources, selection)
-    dead_letters = _add_dead_letters(resources, selection) if _is_on(operator, "undelivered") else None
+    dead_letters = _add_dead_letters(resources, selection) if _is_enabled(operator, "undelivered") else None
     if config.admin_address is not None:
         selection.components.append(
             AdminComponent(
                 config.admin_address, resources.system, resources.timers, resources.loop, process.operations
             )
         )
-    if _is_on(operator, "control"):
+    if _is_enabled(operator, "control"):
         _add_control(resources, process, selection)
     if config.listener_fd is not None:
         selection.components.append(
@@ -256,7 +258,7 @@
     return selection
 
 
-def _is_on(operator: Mapping[str, Mapping[str, Any]], section: str) -> bool:
+def _is_enabled(operator: Mapping[str, Mapping[str, Any]], section: str) -> bool:
     return bool(operator.get(section, {}).get("on"))
 
 
@@ -282,8 +284,8 @@
 def _add_dead_letters(resources: CourierResources, selection: ComponentSelection) -> DeadLetterComponent:
     from winchspan.dead_letters.setup import create_archiver
 
-    make = resources.system.archiver_factory or create_archiver
-    archiver: DeadLetterArchiver = make(
+    create = resources.system.archiver_factory or create_archiver
+    archiver: DeadLetterArchiver = create(
         resources.operator["undelivered"],
         resources.settings,
         resources.clock,
@@ -302,8 +304,8 @@
     if selection.archiver is not None:
         from winchspan.dead_letters.policy import RedeliveryPolicy
 
-        context = RedeliveryPolicy(_redelivery_rules(resources), resources.classes)
-        access = DeadLetterAccess(selection.archiver, context)
+        policy = RedeliveryPolicy(_redelivery_rules(resources), resources.classes)
+        access = DeadLetterAccess(selection.archiver, policy)
     path = Path(resources.operator["control"]["socket"])
     selection.components.append(ControlComponent(path, process, resources.clock, resources.timers, access))
 
--- a/winchspan/application/discovery_gate.py
+++ b/winchspan/application/discovery_gate.py
@@ -1,4 +1,4 @@
-"""Holds the first attempts of a process back until discovery has answered."""
+"""Delays the first attempts of a process until discovery has answered."""
 
 from __future__ import annotations
 
@@ -9,17 +9,19 @@
 from winchspan.runtime.clock import Clock
 from winchspan.runtime.timers import TimerQueue
 
-FIRST_SNAPSHOT_TIMEOUT_MS: Final = 100.0  # the local agent answers at once, or not at all
-FIRST_EVENT_TIMEOUT_MS: Final = 20.0  # after the response head: if nothing is new, no line comes for 2 s
+FIRST_SNAPSHOT_TIMEOUT_MS: Final = 100.0  # the local agent answers at once or not at all
+FIRST_EVENT_TIMEOUT_MS: Final = (
+    20.0  # after the response head; without changes, the first event comes after 2 s
+)
 POLL_INTERVAL_MS: Final = 2.0
 
 
 class DiscoveryGate:
-    """Waits at a start for discovery's first word.
+    """Waits for discovery's first update after a start.
 
-    Guards against attempts of a process that was slow to start, to endpoints that its configuration still
-    lists: what the agent has counts as known from the process's first moment, and only what goes out within
-    250 ms of that may have been on its way.
+    A process that is slow to start must not send to endpoints that only its configuration still lists. The
+    agent's endpoint list counts as known from the start of the process, and only calls that are sent within
+    250 ms of the start count as already under way.
     """
 
     def __init__(
@@ -30,10 +32,10 @@
         self._timers = timers
         self._on_open = on_open
         self._started_ms = 0.0
-        self._answered_ms = 0.0  # when the response head was first seen; 0: not yet
+        self._answered_ms = 0.0  # when the response head was first seen; 0 if it was not
 
     def start(self) -> None:
-        """Begin to wait."""
+        """Start to wait."""
         self._started_ms = self._clock.now()
         self._poll()
 
--- a/winchspan/application/notifier.py
+++ b/winchspan/application/notifier.py
@@ -1,4 +1,4 @@
-"""Passes the engine's completion events on to the queue of notifications to the platform."""
+"""Passes the engine's final answers on to the queue of notifications to the platform."""
 
 from __future__ import annotations
 
@@ -8,21 +8,26 @@
 
 
 class PlatformNotifier:
-    """The engine's notifier that tells the platform of each completion."""
+    """The engine's notifier: queues a notification to the platform for each final answer."""
 
-    def __init__(self, queue: NotificationQueue, has_reasons: bool) -> None:
+    def __init__(self, queue: NotificationQueue, includes_reasons: bool) -> None:
         """Create a notifier.
 
         Args:
-            queue: where notifications wait until the platform has acknowledged them.
-            has_reasons: whether a notification carries the reason in words.
+            queue: the notifications that the platform has not acknowledged yet.
+            includes_reasons: whether notifications include a reason for people.
         """
         self.queue = queue
-        self._has_reasons = has_reasons
-
-    def announce(
-        self, message: str, state: str, after_ms: int, on_acknowledged: Callable[[], None], reason: str = ""
+        self._includes_reasons = includes_reasons
+
+    def notify(
+        self,
+        message_id: str,
+        state: str,
+        retry_after_ms: int,
+        on_acknowledged: Callable[[], None],
+        reason: str = "",
     ) -> None:
         """Queue a notification; `on_acknowledged` is called once it has been acknowledged."""
-        text = reason if self._has_reasons else ""
-        self.queue.add(Notification(message, state, after_ms, on_acknowledged, text))
+        text = reason if self._includes_reasons else ""
+        self.queue.add(Notification(message_id, state, retry_after_ms, on_acknowledged, text))
--- a/winchspan/application/registry.py
+++ b/winchspan/application/registry.py
@@ -1,4 +1,4 @@
-"""What the application and a registry of optional components agree on."""
+"""Interface between the application and the registry of optional components."""
 
 from __future__ import annotations
 
--- a/winchspan/application/resources.py
+++ b/winchspan/application/resources.py
@@ -1,4 +1,4 @@
-"""The parts that every courier has below its delivery engine, and how they are built."""
+"""The resources on which a courier's delivery engine is built."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CourierResources:
-    """The parts of a process that its engine and its optional components are built on."""
+    """The resources that a process's engine and optional components use."""
 
     config: PlatformConfig
     operator: OperatorOptions
     settings: api.Settings
-    classes: dict[str, api.MessageClass]  # those in force; a reconfiguration changes it in place
+    classes: dict[str, api.MessageClass]  # classes in force; a reconfiguration changes the mapping in place
     loop: asyncio.AbstractEventLoop
     system: System
     clock: Clock
@@ -44,18 +44,18 @@
 
 
 def engine_settings(settings: api.Settings) -> api.Settings:
-    """Return the platform's settings with what this engine supports: completions and recalls."""
+    """Return the platform's settings with the engine's features: completion events and recalls."""
     return replace(settings, notifications_are_acknowledged=True, can_recall=True)
 
 
 def transport_settings(settings: api.Settings) -> TransportSettings:
-    """Return what the platform's settings say of calls."""
+    """Return the transport's part of the platform's settings."""
     messages_per_call = {name: kind.messages_per_call for name, kind in settings.kinds.items()}
     return TransportSettings(messages_per_call, settings.responses_report_load)
 
 
 def pool_timeouts(settings: api.Settings) -> PoolTimeouts:
-    """Return the time limits of connections."""
+    """Return the connection pool's time limits."""
     return PoolTimeouts(ns_to_ms(settings.connect_timeout_ns), ns_to_ms(settings.keepalive_ns))
 
 
@@ -76,7 +76,7 @@
     system: System,
     on_endpoints_updated: Callable[[api.EndpointsUpdated], None],
 ) -> CourierResources:
-    """Open the journal and build all that lies below the engine; raises OSError."""
+    """Open the journal and build all resources of the engine; raise OSError on failure."""
     settings = engine_settings(config.settings)
     clock, timers = system.clock, TimerQueue(system.clock, loop, system.poll_monitor)
     journal = Journal(config.data_directory, journal_capacity_bytes(config, operator), system.disk)
--- a/winchspan/application/shutdown.py
+++ b/winchspan/application/shutdown.py
@@ -1,4 +1,4 @@
-"""The steps of a graceful shutdown, each at its time after SIGTERM."""
+"""The steps of a graceful shutdown, timed from SIGTERM."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from winchspan.runtime.timers import TimerQueue
 
 STOP_LISTENING_AFTER_MS: Final = 700.0  # clients still connect for 400 ms after SIGTERM
-STOP_ATTEMPTS_AFTER_MS: Final = 2_600.0  # new attempts start; the platform kills no sooner than at 3.7 s
-END_AFTER_MS: Final = 3_300.0  # and so long attempts in flight may still complete
-POLL_INTERVAL_MS: Final = 20.0  # between two checks whether all work is done
+STOP_ATTEMPTS_AFTER_MS: Final = 2_600.0  # new attempts start until then; SIGKILL is at 3.7 s or later
+END_AFTER_MS: Final = 3_300.0  # attempts in flight may complete until then
+POLL_INTERVAL_MS: Final = 20.0  # between two checks for remaining work
 
 
 class GracefulShutdown:
-    """Ends a process: clients are answered while they come, and attempts in flight may complete."""
+    """Shuts down a process: connected clients are answered, and attempts in flight may complete."""
 
     def __init__(
         self,
@@ -28,13 +28,13 @@
         is_busy: Callable[[], bool],
         end: Callable[[], None],
     ) -> None:
-        """Create it, idle.
+        """Create an idle shutdown sequence.
 
         Args:
-            engine: is told to start no more attempts.
-            clients: their connections.
-            timers: call the later steps.
-            is_busy: whether there is work that this process may still do.
+            engine: the engine that stops starting attempts.
+            clients: the client connections.
+            timers: schedule the later steps.
+            is_busy: returns whether this process has work left.
             end: ends the process.
         """
         self._engine = engine
@@ -44,7 +44,7 @@
         self._end = end
 
     def begin(self) -> None:
-        """Begin, unless it has begun already."""
+        """Begin the shutdown, unless it has begun already."""
         if self._clients.is_stopping:
             return
         logger.info("stopping: {} attempts in flight", self._engine.in_flight_count)
--- a/winchspan/cluster/__init__.py
+++ b/winchspan/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Services of a fleet: they run consensus, leases and replication on sockets, timers and disks."""
+"""Services of a cluster: they run consensus, leases and replication on sockets, timers and disks."""
--- a/winchspan/cluster/announcements.py
+++ b/winchspan/cluster/announcements.py
@@ -1,4 +1,4 @@
-"""What members tell of themselves, and the check that no member's store was rolled back."""
+"""Announcements of the members' state, and the check that no member's consensus store was rolled back."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 )
 from winchspan.consensus.store import ConsensusStore
 
-MAX_LOCATION_LENGTH = 64  # characters of a zone or a region that another member says
+MAX_LOCATION_LENGTH = 64  # characters of a zone or region received from another member
 
 
 class JournalOwnership(NamedTuple):
-    """The process of a member, and the epoch under which it knows its journal for its own; 0: none."""
+    """Incarnation of a member's process, and the epoch under which the member owns its journal; 0: none."""
 
     incarnation: int
     epoch: int
 
 
 class Location(NamedTuple):
-    """Where a member runs."""
+    """Zone and region of a member."""
 
     zone: str
     region: str
@@ -45,10 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalState:
-    """The parts of this member that its announcements are about.
+    """Components of this member whose state it announces.
 
     Attributes:
-        loaded: what the store held when this process started.
+        store: consensus store on disk.
+        loaded: state that the store held when this process started.
+        raft: state machine of consensus.
+        bootstrap: collects the members' reports for the creation of the cluster.
+        clocks: checks of the members' clocks.
     """
 
     store: ConsensusStore
@@ -59,7 +63,12 @@
 
 
 class NodeAnnouncements:
-    """Announces this member to the others, and takes their announcements."""
+    """Announces this member to the others, and processes their announcements.
+
+    Attributes:
+        journals: journal ownership by member.
+        locations: zone and region by member.
+    """
 
     def __init__(
         self,
@@ -73,10 +82,11 @@
 
         Args:
             node: this process.
-            local: what is announced.
-            bus: reaches the other members.
-            location: this member's.
-            on_rolled_back: is called with the reason once this member's own store proves rolled back.
+            local: components whose state is announced.
+            bus: sends messages to the other members.
+            location: this member's zone and region.
+            on_rolled_back: called with the reason when another member shows that this member's store was
+                rolled back.
         """
         self._node = node
         self._local = local
@@ -91,19 +101,19 @@
         bus.on_connected(self.announce_to)
 
     def stop(self) -> None:
-        """Announce nothing any more."""
+        """Stop sending announcements."""
         self._is_stopped = True
 
     def set_journal_epoch(self, epoch: int) -> None:
-        """Take the epoch under which this member's journal is its own."""
+        """Set the epoch under which this member owns its journal."""
         self.journals[self._node.name] = JournalOwnership(self._node.incarnation, epoch)
 
     def is_rolled_back(self, member: str) -> bool:
-        """Return whether a member's store is older than what it said before."""
+        """Return whether a member's store is older than the progress that it reported before."""
         return self._rollbacks.is_rolled_back(member)
 
     def record_promise(self, member: str, source: str, message: Message) -> None:
-        """Remember what a member's store has bound itself to by a message to this one."""
+        """Record the vote or log entry that a member's store committed itself to in a message to this one."""
         raft = self._local.raft
         is_leader = raft.role is RaftRole.LEADER and raft.term == message.term
         promise = promise_in(message, source, raft.node_id, raft.log.term_at if is_leader else None)
@@ -116,7 +126,7 @@
             self.announce_to(member)
 
     def announce_to(self, member: str) -> None:
-        """Announce this member to another, unless its store is behind or it is stopped."""
+        """Announce this member to another one, unless its store has a backlog or this is stopped."""
         store, raft = self._local.store, self._local.raft
         if store.has_backlog or self._is_stopped:
             return
@@ -161,7 +171,7 @@
         )
 
     def _describe_own_rollback(self, known: StoreProgress, promise: Promise) -> str:
-        """Describe what this store lacks of what another member knows of it; empty if nothing."""
+        """Describe the state that this store lacks although another member knows of it; empty if none."""
         missing = self._own_progress().describe_rollback(known)
         if missing or known.life == self._node.incarnation:
             return missing
@@ -171,7 +181,7 @@
         return missing
 
     def _passes_rollback_check(self, sender: str, announcement: NodeAnnouncement) -> bool:
-        """Return whether both stores have all that they are known to have had."""
+        """Return whether neither store lacks state that it is known to have had."""
         known = announcement.known_progress
         if known is not None and known[0] == self._local.store.member_id:
             promise = announcement.known_promise
@@ -179,8 +189,8 @@
             if missing:
                 self._on_rolled_back(
                     f"{self._local.store.path}: is older than what {sender} knows of it ({missing}): "
-                    "what it promised since is forgotten; let the courier begin with an empty "
-                    "folder, or with the latest one"
+                    "later promises are lost; start the courier with an empty data directory "
+                    "or with the latest one"
                 )
                 return False
         progress = StoreProgress(
@@ -201,5 +211,5 @@
 
 
 def is_log_empty(raft: Raft) -> bool:
-    """Return whether a member has never taken part in consensus."""
+    """Return whether a member has neither a log entry nor a term, so that it never took part in consensus."""
     return not raft.last_position[0] and not raft.term
--- a/winchspan/cluster/claim_service.py
+++ b/winchspan/cluster/claim_service.py
@@ -1,7 +1,7 @@
-"""Claims as they run in a courier: announced to all members, and awaited by this courier's messages.
+"""Sends and receives claims, and delays this courier's messages while a claim blocks them.
 
-A claim says that a message of a courier's journal is open, so that messages of other couriers with the same
-key or idempotency token wait for its end.
+A claim announces an open message of some courier's journal. Messages of other couriers with the same ordering
+key or idempotency token wait until the claimed message is completed.
 """
 
 from __future__ import annotations
@@ -25,39 +25,43 @@
 from winchspan.storage.journal_records import JournalEntry
 
 MAX_CLAIMS_PER_FRAME: Final = 256
-PRIORITY_PREFIX: Final = "!"  # before a courier's name: its own message of a claimed token goes first
-MAX_TRACKED_TOKENS: Final = 1_024  # of this courier's messages whose end is remembered with their token
-LOCK_KEY_BYTES: Final = 9  # of one lock key (replication/claims.py)
-MAX_LOCK_KEYS_PER_CLAIM: Final = 2
-MAX_TEXT_LENGTH: Final = 64  # characters of an id or a zone that another member says
+# Prefix of a courier's name for claims on its own messages of a claimed token. It sorts before all names, so
+# that these messages go before those that were taken over.
+PRIORITY_PREFIX: Final = "!"
+# Limit of the tokens for which this courier stores an attempt that may have executed its message. The oldest
+# token is evicted first.
+MAX_TRACKED_TOKENS: Final = 1_024
+LOCK_KEY_BYTES: Final = 9  # length of a lock key, see `lock_keys_of`
+MAX_LOCK_KEYS_PER_CLAIM: Final = 2  # one for the ordering key, one for the token
+MAX_TEXT_LENGTH: Final = 64  # characters of a message id or zone received from another member
 
 ClaimMessage = ClaimsAnnounced | ClaimCompleted | ClaimsReleased | PossiblyExecuted
 ReleaseCallback = Callable[[tuple[float, str] | None], None]
 
 
 class ClaimedJournal(NamedTuple):
-    """The journal on whose behalf messages are claimed."""
+    """Owner of the journal whose messages are claimed, and the epoch of the claims."""
 
     owner: str
     epoch: int
 
 
 class FirstAttempt(NamedTuple):
-    """Since when a message may have been executed, by the persistent clock, and where."""
+    """Start of the first attempt that may have executed a message, by the persistent clock, and its zone."""
 
     started_unix_ms: float
     zone: str
 
 
 class WaitingMessage(NamedTuple):
-    """A message of this courier that waits for a claim."""
+    """A message of this courier that waits for the end of a claim."""
 
     lock_keys: tuple[bytes, ...]
     release: ReleaseCallback
 
 
 class ClaimService:
-    """This courier's claims, and its messages that wait for those of others."""
+    """Announces this courier's claims, and queues its messages that are blocked by claims of others."""
 
     def __init__(
         self,
@@ -67,14 +71,14 @@
         store: ReplicaStore,
         replicas: ReplicaSet,
     ) -> None:
-        """Subscribe to claims.
+        """Subscribe to messages about claims.
 
         Args:
             node: this process.
-            delivery: this courier's journal and classes.
-            consensus: knows who is alive and connected.
-            store: the replicas that are held here.
-            replicas: how far each goes.
+            delivery: this courier's journal and message classes.
+            consensus: provides the live members and the message bus.
+            store: replicas on this courier's disk.
+            replicas: epoch and last index of each replica.
         """
         self._node = node
         self._delivery = delivery
@@ -84,8 +88,8 @@
         self._replicas = replicas
         self._claims = ClaimTable()
         self._waiting: dict[int, WaitingMessage] = {}
-        self._silent_owner_epochs: dict[str, int] = {}  # silent couriers that are claimed for, with the epoch
-        self._claimed_entries: dict[int, ClaimedJournal] = {}  # claimed entries of this courier's journal
+        self._silent_owner_epochs: dict[str, int] = {}  # by silent owner, the epoch of the claims made for it
+        self._claimed_entries: dict[int, ClaimedJournal] = {}  # by number of a claimed entry of this journal
         self._attempts_by_token: dict[bytes, FirstAttempt] = {}
         self._bus.subscribe(ClaimsAnnounced, self._on_claims_announced)
         self._bus.subscribe(ClaimCompleted, self._on_claim_completed)
@@ -93,17 +97,17 @@
         self._bus.subscribe(PossiblyExecuted, self._on_possibly_executed)
 
     def metrics(self) -> dict[str, int]:
-        """Return how many claims are known, and how many messages of this courier wait for one."""
+        """Return the number of known claims, and of this courier's messages that wait for one."""
         return {"fleet.copies.claims": len(self._claims), "fleet.copies.waiting": self._claims.waiting_count}
 
     def run_due(self, now: float) -> None:
-        """Claim for couriers that have fallen silent, and release what waits no longer."""
+        """Claim the messages of silent couriers, expire claims, and release messages that they blocked."""
         self._claim_for_silent_owners()
         self._claims.expire(now)
         self._release_waiting()
 
     def clear(self) -> None:
-        """Claim nothing of this courier's journal any more: it is another's now."""
+        """Drop the claims on this courier's journal, which another courier has taken over."""
         self._claimed_entries.clear()
 
     # ---- this courier's messages -------------------------------------------------------------------------
@@ -127,7 +131,7 @@
             on_released(self._earlier_attempt_of(lock_keys))
 
     def cancel(self, number: int) -> None:
-        """Forget a waiting message that is complete."""
+        """Remove a waiting message, since it is complete."""
         self._claims.cancel(number)
         self._waiting.pop(number, None)
 
@@ -141,9 +145,9 @@
             if waiting is not None:
                 waiting.release(self._earlier_attempt_of(waiting.lock_keys))
 
-    # ---- messages of members -----------------------------------------------------------------------------
+    # ---- received messages -------------------------------------------------------------------------------
     def _on_claims_announced(self, sender: str, message: ClaimsAnnounced) -> None:
-        del sender  # claims hold whoever passes them on
+        del sender  # a claim is valid whichever member sends it
         claims = [
             Claim(row.message_id, tuple(row.lock_keys[:MAX_LOCK_KEYS_PER_CLAIM]), row.remaining_ms)
             for row in message.claims
@@ -175,7 +179,7 @@
         self._release_waiting()
 
     def _broadcast(self, message: ClaimMessage) -> None:
-        """Send a message to all other members, and take it here."""
+        """Send a message to all other members, and process it locally."""
         self._bus.broadcast(message)
         own = self._node.name
         match message:
@@ -189,11 +193,11 @@
                 self._on_possibly_executed(own, message)
 
     def _claim_own_tokens(self, tokens: set[bytes]) -> None:
-        """Answer claims on tokens that this courier has, too: its own messages go first.
+        """Claim this courier's own messages of the tokens, so that they go before those that are taken over.
 
-        Guards against a message that was handed in here before anybody knew that its first courier is
-        silent: it may be in flight, or have been executed, and the one that is taken over must not run
-        beside it, nor after its window.
+        A client may submit a message here before any member notices that the message's first courier is
+        silent. This message may be in flight or executed already. The one that is taken over must not run at
+        the same time, nor after the idempotency window of this one.
         """
         for lock_key in tokens & self._attempts_by_token.keys():
             attempt = self._attempts_by_token[lock_key]
@@ -210,9 +214,9 @@
         if entries:
             self._claim_entries(ClaimedJournal(PRIORITY_PREFIX + self._node.name, 1), entries)
 
-    # ---- what is claimed ---------------------------------------------------------------------------------
+    # ---- outgoing claims ---------------------------------------------------------------------------------
     def claim(self, owner: str, epoch: int, entries: Iterable[JournalEntry]) -> None:
-        """Claim entries of this courier's journal for an owner, to all members."""
+        """Announce claims on entries of this courier's journal to all members, under an owner's name."""
         self._silent_owner_epochs.pop(owner, None)
         self._claim_entries(ClaimedJournal(owner, epoch), list(entries))
 
@@ -224,7 +228,7 @@
     def _build_announcements(
         self, journal: ClaimedJournal, entries: Iterable[JournalEntry], *, is_empty_announced: bool = False
     ) -> list[ClaimsAnnounced]:
-        """Return the claims on entries, as many frames as it takes."""
+        """Return the claims on entries, divided into messages of at most `MAX_CLAIMS_PER_FRAME` claims."""
         rows = self._claim_rows(entries)
         count = max(1, len(rows)) if is_empty_announced else len(rows)
         return [
@@ -233,7 +237,7 @@
         ]
 
     def _claim_rows(self, entries: Iterable[JournalEntry]) -> list[ClaimRow]:
-        """Return claims on the entries that are not idempotent, or whose keys keep their order."""
+        """Return claims on the entries that are ordered by key or not idempotent, except for redeliveries."""
         now_unix_ms = self._node.clock.persistent_unix_ms()
         rows = []
         for entry in entries:
@@ -254,7 +258,7 @@
         return owner not in self._consensus.live_nodes() or not self._bus.is_connected(owner)
 
     def _claim_for_silent_owners(self) -> None:
-        """Claim for couriers whose replica is here, and that are silent."""
+        """Claim the messages of silent couriers whose replica this courier holds."""
         for owner, replica in self._replicas.replicas.items():
             placement = self._consensus.leases.table.placements.get(owner)
             if (
@@ -271,7 +275,7 @@
 
     # ---- events ------------------------------------------------------------------------------------------
     def on_entry_completed(self, entry: JournalEntry) -> None:
-        """Tell whoever waits for a message that it is complete, and when it may have been executed."""
+        """Record when a completed message may first have been executed, and announce the end of its claim."""
         journal = self._claimed_entries.pop(entry.number, None)
         executed_unix_ms = (
             entry.first_executed_at_ms if entry.first_executed_at_ms is not None else entry.in_flight_since_ms
@@ -293,7 +297,7 @@
             del self._attempts_by_token[next(iter(self._attempts_by_token))]
 
     def on_connected(self, member: str) -> None:
-        """Tell a member that is connected again what is claimed here."""
+        """Send all claims made by this courier to a member whose connection is established."""
         journals: dict[ClaimedJournal, list[JournalEntry]] = {}
         for number, journal in self._claimed_entries.items():
             entry = self._delivery.journal.get(number)
@@ -306,7 +310,7 @@
                 self._bus.send(member, message)
 
     def on_owner_active(self, owner: str) -> None:
-        """Release what is claimed for a courier that sends its records itself again."""
+        """Release the claims made for a courier that replicates its journal itself again."""
         if self._is_silent(owner):
             return
         epoch = self._silent_owner_epochs.pop(owner, 0)
--- a/winchspan/cluster/clock_checks.py
+++ b/winchspan/cluster/clock_checks.py
@@ -1,4 +1,4 @@
-"""Compares the members' clocks: leases may rest only on clocks that run as fast as stated."""
+"""Compares the rates of the members' clocks: only members whose drift is within the bound may hold leases."""
 
 from __future__ import annotations
 
@@ -9,34 +9,38 @@
 
 
 class ClockChecks:
-    """Which members' clocks are off, as seen here and as they say themselves."""
+    """Tracks the members whose clocks drift too much, by own measurement and by their own reports.
+
+    Attributes:
+        drifts: drift of each clock beyond the bound, by member, as a fraction of time.
+    """
 
     def __init__(self, own_name: str, max_drift: float) -> None:
-        """Start without any reading.
+        """Start without any clock reading.
 
         Args:
-            own_name: this member's.
-            max_drift: the most that a clock gains or loses, as a part of time.
+            own_name: this member's name.
+            max_drift: greatest permitted drift, as a fraction of time.
         """
         self._own_name = own_name
         self._max_drift = max_drift
         self._monitor = ClockDriftMonitor()
         self._self_reported_drifting: set[str] = set()
-        self.drifts: dict[str, float] = {}  # of members whose clock is off, as a part of time
+        self.drifts: dict[str, float] = {}
 
     def record(self, now: float, member: str, announcement: NodeAnnouncement) -> None:
-        """Take a member's reading."""
+        """Record the clock reading of a member's announcement."""
         self._monitor.record_reading(now, member, announcement.incarnation, announcement.clock_ms)
 
     def record_self_report(self, member: str, *, is_clock_drifting: bool) -> None:
-        """Take what a member says of its own clock."""
+        """Record whether a member reports that its own clock drifts too much."""
         if is_clock_drifting:
             self._self_reported_drifting.add(member)
         else:
             self._self_reported_drifting.discard(member)
 
     def is_drifting(self, member: str) -> bool:
-        """Return whether a member's clock is off as seen here."""
+        """Return whether this member measures too much drift of a member's clock."""
         return member in self.drifts
 
     def may_hold_leases(self, member: str) -> bool:
@@ -44,7 +48,7 @@
         return member not in self.drifts and member not in self._self_reported_drifting
 
     def compare(self) -> bool:
-        """Compare all readings, log what has changed, and return whether this member's own state has."""
+        """Compare all readings, log changes, and return whether `is_drifting` of this member has changed."""
         drifts = self._monitor.find_drifting_clocks(self._own_name, self._max_drift, self.drifts)
         for member in sorted(drifts.keys() - self.drifts.keys()):
             logger.error(
--- a/winchspan/cluster/cluster_component.py
+++ b/winchspan/cluster/cluster_component.py
@@ -1,4 +1,4 @@
-"""The cluster as a component of a courier: the members' failure detector and the services on top of it."""
+"""The cluster as a component of a courier: the failure detector and the services on top of it."""
 
 from __future__ import annotations
 
@@ -54,14 +54,14 @@
         """Open the sockets and create the services.
 
         Args:
-            node: this process; its incarnation is drawn here.
+            node: this process, without its incarnation, which is drawn at random.
             config: the platform's configuration.
             operator: the operator's file.
-            delivery: what the services act on.
+            delivery: journal, endpoints and connections, on which the services act.
             abort: ends the process with a reason.
 
         Raises:
-            ConfigError: if the operator's file cannot be used here.
+            ConfigError: if the operator's file cannot be used with this configuration.
         """
         self._values = values = operator["fleet"]
         if config.listener_fd is not None:
@@ -90,12 +90,12 @@
 
     @property
     def replication(self) -> ReplicationPort | None:
-        """The engine's replication port, if journals are replicated."""
+        """Replication port of the engine; None if journals are not replicated."""
         return self._services.replication if self._services is not None else None
 
     @property
     def redelivery_rate(self) -> RedeliveryRateLimiter | None:
-        """The rate of redeliveries that the cluster shares, if it does."""
+        """Rate of redeliveries that the cluster shares; None if it shares none."""
         return self._services.redelivery_rate if self._services is not None else None
 
     def attach_engine(self, engine: DeliveryEngine) -> None:
@@ -126,17 +126,17 @@
             self._services.health_checks.reconfigure(settings)
 
     def reload_options(self, operator: OperatorOptions) -> None:
-        """Apply the operator's file, which was read again: members may have come or gone.
+        """Apply the reloaded operator's file, in which members may have been added or removed.
 
         Raises:
-            ConfigError: if something has changed that can change at a start only.
+            ConfigError: if an option has changed that only a restart can change.
         """
         values = operator["fleet"]
         if not values["on"]:
-            raise option_error(values, "on", "can be switched off at a start only")
+            raise option_error(values, "on", "can be disabled only by a restart")
         members = cluster_members(values, self._node.name)
         if members[self._node.name] != self._transport.members[self._node.name]:
-            raise option_error(values, "listen", "can be changed at a start only")
+            raise option_error(values, "listen", "can be changed only by a restart")
         self._transport.members = members
         if self._services is not None:
             self._services.consensus.set_members(members)
@@ -144,7 +144,7 @@
         self._execute(self._swim.reconfigure(self._node.clock.now(), members))
 
     def request_stop(self) -> bool:
-        """Tell the other members that this one leaves, and begin to hand its work over."""
+        """Announce to the other members that this one leaves, and start the hand-over of its journal."""
         self._execute(self._swim.leave(self._node.clock.now()))
         replication = self._replication_to_hand_over()
         if replication is not None:
@@ -153,12 +153,12 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether work is still to be handed over."""
+        """Whether the hand-over of the journal is still in progress."""
         replication = self._replication_to_hand_over()
         return replication is not None and replication.is_handing_over
 
     def _replication_to_hand_over(self) -> ReplicationService | None:
-        """Return the service whose journal is handed over at a stop, if it is."""
+        """Return the replication service if its journal is handed over at a stop, else None."""
         if self._services is None or not self._values["hand-over"]:
             return None
         return self._services.replication
@@ -191,7 +191,7 @@
         }
 
     def metrics(self) -> dict[str, int]:
-        """Return members by state, own health, frames by outcome, and the services' metrics."""
+        """Return members by state, local health, frames by outcome, and the services' metrics."""
         metrics = {f"fleet.members.{state}": count for state, count in self._swim.count_by_state().items()}
         metrics["fleet.health"] = self._swim.local_health
         metrics["fleet.frames.sent"] = self._transport.sent_count
@@ -208,7 +208,7 @@
         return self._services.all if self._services is not None else []
 
     def _dropped_counts(self) -> Counter[str]:
-        """Return how many frames and connections were dropped, by cause, on both transports."""
+        """Return the number of dropped frames and connections by cause, over both transports."""
         counts = self._transport.dropped + self._swim.dropped
         if self._services is not None:
             counts += self._services.consensus.dropped
@@ -234,7 +234,7 @@
 
     # ---- failure detector --------------------------------------------------------------------------------
     def _live_nodes(self) -> dict[str, int]:
-        """Return the incarnations of live members; none of a name that two processes use."""
+        """Return the incarnations of live members, except for names that two processes use."""
         nodes = {
             name: record.process_nonce
             for name, record in self._swim.records.items()
@@ -245,7 +245,7 @@
         return nodes
 
     def _find_reached_by_others_only(self, out_of_contact: set[str]) -> list[str]:
-        """Probe members that this one has lost contact with; return those that only others reach."""
+        """Probe members that are out of contact with this one; return those that only other members reach."""
         now = self._node.clock.now()
         reached_by_others_only = [
             name for name in sorted(out_of_contact) if self._swim.is_reached_by_others_only(now, name)
@@ -261,7 +261,7 @@
         self._execute(self._swim.tick(self._node.clock.now()))
 
     def _execute(self, actions: list[Action]) -> None:
-        """Carry out what the failure detector asks for, and set the timer for its next step."""
+        """Execute the actions of the failure detector, and set the timer for its next tick."""
         for action in actions:
             match action:
                 case SendDatagram(to, datagram):
--- a/winchspan/cluster/consensus_service.py
+++ b/winchspan/cluster/consensus_service.py
@@ -1,4 +1,4 @@
-"""Consensus as it runs in a courier: the Raft state machine on a store, a message bus and timers."""
+"""Runs the Raft state machine of a courier on its store, the message bus and timers."""
 
 from __future__ import annotations
 
@@ -44,22 +44,22 @@
 from winchspan.runtime.timers import Timer
 from winchspan.storage.journal import Journal
 
-HEARTBEAT_INTERVAL_MS = 225.0  # between two requests for renewal: four of them in a lease
-HEARTBEATS_PER_ANNOUNCEMENT = 8  # a member announces itself in one heartbeat of so many
-STORE_RETRY_INTERVAL_MS = 50.0  # between two tries to write what a full disk did not take
-SNAPSHOT_INTERVAL_ENTRIES = 200  # committed entries after which a snapshot stands for them
+HEARTBEAT_INTERVAL_MS = 225.0  # between two lease renewal requests: four requests in the life of a lease
+HEARTBEATS_PER_ANNOUNCEMENT = 8
+STORE_RETRY_INTERVAL_MS = 50.0  # between two attempts to write the backlog of a full disk
+SNAPSHOT_INTERVAL_ENTRIES = 200  # committed entries after the last snapshot that trigger the next one
 
 
 @dataclass(frozen=True, slots=True)
 class ConsensusOptions:
-    """What the operator's file says of consensus.
+    """Options of consensus from the operator's file.
 
     Attributes:
-        roles: leased roles that are to have a holder.
-        secret: signs the frames between members; empty: none is signed.
-        max_clock_drift: the most that a clock gains or loses, as a part of time.
-        zone: of this courier.
-        region: of this courier.
+        roles: names of the leased roles.
+        secret: key that signs the frames between members; empty for unsigned frames.
+        max_clock_drift: greatest permitted drift of a clock, as a fraction of time.
+        zone: zone of this courier.
+        region: region of this courier.
     """
 
     roles: tuple[str, ...]
@@ -71,12 +71,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ConsensusPorts:
-    """What the service uses of its process.
+    """Parts of the process that the service uses.
 
     Attributes:
-        journal: this courier's; it knows under which epoch it was last written.
-        connections: to endpoints; a call that is partially written may have to be recalled.
-        live_nodes: returns who is alive, by name with their incarnations, this process among them.
+        journal: this courier's journal, which records the epoch under which it was last owned.
+        connections: HTTP connections to endpoints; a partially written call may have to be recalled.
+        live_nodes: returns the incarnations of the live members by name, this process included.
         find_reached_by_others_only: probes members that are out of contact with this one, and returns those
             that only other members reach.
         abort: ends the process with a reason.
@@ -90,7 +90,7 @@
 
 
 def _create_raft(node: ClusterNode, store: ConsensusStore) -> Raft:
-    """Return this member's state machine, suspended while the disk cannot record that it has started."""
+    """Return this member's state machine, suspended while the disk does not take the record of its start."""
     raft = Raft(store.member_id, store.state, node.seed ^ node.incarnation, node.now_ms())
     if store.has_backlog:
         raft.set_suspended(node.now_ms(), True)
@@ -105,12 +105,20 @@
 
 
 def _members_in_contact(raft: Raft, now: float, stores: Mapping[str, str], within_ms: float) -> set[str]:
-    """Return the names of voting members that have answered this leader within a time."""
+    """Return the names of voting members that have answered this leader in the last `within_ms`."""
     return {name for name, store_id in stores.items() if raft.has_recent_contact(now, store_id, within_ms)}
 
 
 class ConsensusService:
-    """This courier's part in consensus, and the leases that rest on it."""
+    """This courier's participation in consensus, and the leases that depend on it.
+
+    Attributes:
+        raft: state machine of consensus.
+        bus: messages to and from the other members.
+        announcements: exchange of the members' state.
+        leases: leases on roles.
+        poll_guard: callbacks that run after each poll of the event loop.
+    """
 
     def __init__(
         self,
@@ -124,12 +132,12 @@
         Args:
             node: this process.
             members: addresses by name.
-            options: of the operator's file.
-            ports: what it uses of the process.
+            options: options from the operator's file.
+            ports: parts of the process that the service uses.
 
         Raises:
             ConsensusStoreError: if the store cannot be read.
-            OSError: if it cannot be opened.
+            OSError: if the store cannot be opened.
         """
         self._node = node
         self._ports = ports
@@ -151,7 +159,7 @@
         self._heartbeat_count = 0
         self._step_down = LeaderStepDown()
         self._raft_timer = RaftTimer(node, self.raft, self._on_raft_timer)
-        self._plan_timer: Timer | None = None  # at the next expiry of a lease
+        self._plan_timer: Timer | None = None  # runs `_plan` at the next expiry of a lease
 
     def _create_announcements(self, options: ConsensusOptions) -> NodeAnnouncements:
         local = LocalState(self._store, self._store.state, self.raft, self._bootstrap, self._clocks)
@@ -175,7 +183,7 @@
         self._raft_timer.arm()
 
     def close(self) -> None:
-        """Take part no more."""
+        """Leave consensus, and close connections and files."""
         self._stop()
         self.poll_guard.close()
         self.bus.close()
@@ -192,7 +200,7 @@
         self.announcements.stop()
         self._raft_timer.stop()
 
-    # ---- what other services use -------------------------------------------------------------------------
+    # ---- interface to other services ---------------------------------------------------------------------
     @property
     def store_id(self) -> str:
         """Identity of this member's store."""
@@ -200,35 +208,35 @@
 
     @property
     def is_leading(self) -> bool:
-        """Whether this courier leads."""
+        """Whether this courier is the consensus leader."""
         return self.leases.is_granting
 
     def live_nodes(self) -> dict[str, int]:
-        """Return who is alive, by name with their incarnations, this process among them."""
+        """Return the incarnations of the live members by name, this process included."""
         return self._ports.live_nodes()
 
     def voting_members(self) -> set[str]:
-        """Return the names of the members that vote."""
+        """Return the names of the voting members."""
         return {node_name(store_id) for store_id in self.raft.members}
 
     def on_committed(self, callback: Callable[[], None]) -> None:
-        """Call back whenever an entry has been committed."""
+        """Call back after each committed entry."""
         self._commit_callbacks.append(callback)
 
     def propose(self, data: bytes) -> None:
-        """Have something about a courier's journal proposed; nothing comes of it while nobody leads."""
+        """Propose an entry about a courier's journal through the leader; dropped while there is no leader."""
         if self.raft.leader == self._store.member_id:
             self._propose(data)
         elif self.raft.leader:
             self.bus.send(node_name(self.raft.leader), data)
 
     def schedule_plan(self) -> None:
-        """As the leader, look at once who is to hold what."""
+        """Run the leader's planning of roles and voters in the next turn of the event loop."""
         if not self._is_closed:
             self._node.timers.call_later(0.0, self._plan)
 
     def set_roles(self, roles: tuple[str, ...]) -> None:
-        """Change the roles that are to have a holder."""
+        """Change the leased roles."""
         self.leases.set_roles(roles)
 
     def set_members(self, members: Mapping[str, Address]) -> None:
@@ -254,7 +262,7 @@
         }
 
     def metrics(self) -> dict[str, int]:
-        """Return gauges of consensus, and the epoch of each role that this courier may act in."""
+        """Return gauges of consensus, and the epoch of each role in which this courier may act."""
         metrics = {
             "fleet.agreement.term": self.raft.term,
             "fleet.agreement.committed": self.raft.commit_index,
@@ -272,11 +280,11 @@
 
     # ---- messages ----------------------------------------------------------------------------------------
     def is_rolled_back(self, sender: str) -> bool:
-        """Return whether a member's store is older than what it said before."""
+        """Return whether a member's store is older than the progress that it reported before."""
         return self.announcements.is_rolled_back(sender)
 
     def receive(self, sender: str, source: str, message: ConsensusMessage | LeaseMessage) -> None:
-        """Take a message of a member's store."""
+        """Handle a message from a member's store."""
         match message:
             case RenewLeases() | LeasesRenewed() | ReleaseLease() | LeaseReleased() | LeaseSurrendered():
                 self.leases.receive(sender, source, message)
@@ -291,7 +299,7 @@
             self.bus.send_to_store(store_id, message)
 
     def _on_proposal(self, sender: str, data: bytes) -> None:
-        """Propose what a member asks for about its own journal, or one that it has taken over."""
+        """Propose an entry that a member submits about its own journal, or one whose lease it holds."""
         owner = journal_owner_of(data)
         lease = self.leases.table.leases.get(journal_role(owner))
         is_entitled = owner == sender or (lease is not None and lease.holder == sender)
@@ -299,7 +307,7 @@
             self._propose(data)
 
     def _on_rolled_back(self, reason: str) -> None:
-        """End the process: what it would say from now on may contradict what it promised."""
+        """Abort the process, since its messages could contradict promises that its store has lost."""
         self._ports.abort(reason)
         self._stop()
 
@@ -310,7 +318,8 @@
         self._node.timers.call_later(HEARTBEAT_INTERVAL_MS, self._on_heartbeat)
         self._heartbeat_count += 1
         if self._heartbeat_count % HEARTBEATS_PER_ANNOUNCEMENT == 0 and self._clocks.compare():
-            self.announcements.announce_to_all()  # a leader may not see it, and leave this member its roles
+            # A leader that does not measure the drift itself would leave this member its roles.
+            self.announcements.announce_to_all()
         if self._heartbeat_count % HEARTBEATS_PER_ANNOUNCEMENT == 1:
             self.announcements.announce_to_all()
         founders = self._bootstrap.members_to_bootstrap(is_log_empty(self.raft))
@@ -327,7 +336,7 @@
         if self._is_closed:
             return
         if self._store.flush_backlog():
-            logger.info("fleet: the consensus store is written again")
+            logger.info("fleet: the consensus store is writable again")
             self._execute(self.raft.set_suspended(self._node.now_ms(), False))
         else:
             self._node.timers.call_later(STORE_RETRY_INTERVAL_MS, self._retry_store)
@@ -337,7 +346,7 @@
         self._execute(self.raft.propose(self._node.now_ms(), data)[1])
 
     def _plan(self) -> None:
-        """See to it that those vote who are alive, and that each role has a live holder."""
+        """As the leader, update the voters to the live members, and assign each role to a live holder."""
         now = self._node.now_ms()
         if self._is_closed or not self.is_leading or not self.raft.has_confirmed_leadership(now):
             return
@@ -371,9 +380,9 @@
             logger.info("fleet: proposes as voters: {}", ", ".join(sorted(new_voters)))
         self._execute(actions)
 
-    # ---- what the state machine asks for -----------------------------------------------------------------
+    # ---- actions of the state machine --------------------------------------------------------------------
     def _execute(self, actions: list[RaftCommand]) -> None:
-        """Carry actions out in their order: nothing is sent that is not on disk."""
+        """Execute actions in order; messages are sent only when all preceding state is on disk."""
         for action in actions:
             match action:
                 case PersistState():
@@ -386,9 +395,9 @@
                 case RestoreSnapshot(snapshot):
                     self.leases.table.restore(snapshot.data)
                     self._notify_committed()
-                case LeaderChanged(leader, term, why):
+                case LeaderChanged(leader, term, reason):
                     self.leases.set_leading(is_leading=leader == self._store.member_id)
-                    logger.info("fleet: {} leads in term {}: {}", leader or "nobody", term, why)
+                    logger.info("fleet: {} leads in term {}: {}", leader or "nobody", term, reason)
         entry_count = self.raft.commit_index - self.raft.snapshot.index
         if entry_count > SNAPSHOT_INTERVAL_ENTRIES and not self._store.has_backlog:
             self._execute(self.raft.compact(self.raft.commit_index, self.leases.table.encode_snapshot()))
--- a/winchspan/cluster/datagram_codec.py
+++ b/winchspan/cluster/datagram_codec.py
@@ -1,6 +1,6 @@
 """Codec of membership datagrams: a frame (`winchspan.cluster.frames`) with a MessagePack map.
 
-Keys of the map, in this order; those with a default are left out when they have it:
+Keys of the map, in this order; a key is omitted when its value is the default:
 
     src      sender's node name
     inc      sender's incarnation
@@ -8,7 +8,7 @@
     kind     ping, ask (ping request), ack or nack
     seq      sequence number
     to       target node
-    leaves   whether the sender leaves; default false
+    leaves   whether the sender is leaving the cluster; default false
     behalf   requester of an indirect probe; default empty
     updates  maps of name, state (number of `NodeState`), inc, life, by (accuser); default empty
 """
--- a/winchspan/cluster/datagram_transport.py
+++ b/winchspan/cluster/datagram_transport.py
@@ -1,7 +1,7 @@
 """UDP transport of membership datagrams between nodes.
 
-A datagram that cannot be read, or that does not come from the address of its sender, is dropped and counted
-by cause.
+A datagram that cannot be decoded, or that does not come from the address of its sender, is dropped and
+counted by cause.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 from winchspan.config.platform import Address
 from winchspan.membership.messages import Datagram
 
-MAX_UNSENT_BYTES: Final = 64 * 1024  # waiting for the system to take them; further datagrams are dropped
-LOG_EVERY_DROPS: Final = 1_000  # drops for one cause between two log lines, after the first
-MAX_DROP_CAUSES: Final = 64  # counted one by one; unknown versions would add up to 255
+MAX_UNSENT_BYTES: Final = 64 * 1024  # limit of the send buffer; further datagrams are dropped
+LOG_EVERY_DROPS: Final = 1_000  # a cause is logged at its first drop and then once in so many
+MAX_DROP_CAUSES: Final = 64  # bounds the counters: each of 255 unknown versions is a cause of its own
 DROPPED_OTHER: Final = "other"
 DROPPED_SEND_BUFFER_FULL: Final = "not taken by the system in time"
 DROPPED_SYSTEM_ERROR: Final = "refused by the system"
@@ -66,12 +66,12 @@
         await loop.create_datagram_endpoint(lambda: self, sock=sock)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport that the event loop has made for the socket."""
-        # A cast, for before Python 3.12 the loop's own class does not derive from DatagramTransport.
+        """Store the transport that the event loop has created for the socket."""
+        # The loop's own class does not derive from DatagramTransport before Python 3.12.
         self._transport = cast("asyncio.DatagramTransport", transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Pass on a valid datagram; drop and count any other."""
+        """Pass a valid datagram to the handler; drop and count an invalid one."""
         address = Address(addr[0], addr[1])
         try:
             datagram = decode_datagram(data, self._secret)
@@ -84,7 +84,7 @@
         self._on_datagram(datagram)
 
     def error_received(self, exc: Exception) -> None:
-        """Count an error of the system, as when nobody listens at a peer: probes detect that."""
+        """Count a system error, such as a closed port at a peer, which the failure detector notices."""
         self.dropped[DROPPED_SYSTEM_ERROR] += 1
 
     def send(self, recipient: str, datagram: Datagram) -> None:
--- a/winchspan/cluster/frames.py
+++ b/winchspan/cluster/frames.py
@@ -5,19 +5,19 @@
     offset  bytes  field
     0       2      magic, the ASCII letters `WS`
     2       1      version, 1
-    3       1      1 if the frame is signed, else 0; a reader takes any value but 0 for signed
+    3       1      1 if the frame is signed, else 0; a reader treats any nonzero value as signed
     4       16     signature, only in a signed frame
     4 / 20  rest   payload, one MessagePack value
 
 The signature is a keyed BLAKE2b digest over the first four bytes and the payload. Its key is the first 64
 bytes of the cluster secret, its `salt` the first 16 bytes of the reader's nonce, and its `person` the number
 of frames sent before on the connection (8 bytes, little-endian). A datagram has neither nonce nor number:
-both are zero bytes.
+zero bytes take their place.
 
-A stream frame is preceded by its length (4 bytes, little-endian, not signed). The length does not count
-itself.
+A stream frame is preceded by its length (4 bytes, little-endian, not signed), which does not include the
+length field.
 
-A reader ignores fields of the payload that it does not know, and rejects a version that it does not know.
+A reader ignores unknown fields of the payload, and rejects an unknown version.
 Bytes from another node are as untrusted as those from a client.
 """
 
@@ -31,8 +31,8 @@
 VERSION: Final = 1
 HEADER_BYTES: Final = 4
 SIGNATURE_BYTES: Final = 16
-MAX_KEY_BYTES: Final = 64  # of a BLAKE2b key
-NONCE_BYTES: Final = 16  # of a BLAKE2b salt
+MAX_KEY_BYTES: Final = 64  # length limit of a BLAKE2b key
+NONCE_BYTES: Final = 16  # length of a BLAKE2b salt
 UNSIGNED_HEADER: Final = MAGIC + bytes((VERSION, 0))
 SIGNED_HEADER: Final = MAGIC + bytes((VERSION, 1))
 
@@ -41,7 +41,7 @@
     """A frame is rejected.
 
     Attributes:
-        cause: why; it is the label of the metric `fleet.dropped.CAUSE` and never changes.
+        cause: reason of the rejection; it is the label of the metric `fleet.dropped.CAUSE` and never changes.
     """
 
     cause: ClassVar[str]
@@ -63,7 +63,7 @@
 
 
 class UnsupportedVersionError(FrameError):
-    """The frame has a version that this reader does not know."""
+    """The version of the frame is unknown to this reader."""
 
     cause = "unknown version"
 
--- a/winchspan/cluster/health_check_calls.py
+++ b/winchspan/cluster/health_check_calls.py
@@ -1,4 +1,4 @@
-"""Sends announced health checks, and records how they end."""
+"""Sends announced health checks, and records their results."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
     @property
     def role(self) -> str:
-        """The leased role that the check belongs to."""
+        """Leased role that the check belongs to."""
         return shard_role(self.target.destination)
 
 
 class CheckInFlight(NamedTuple):
-    """A call that may have to be recalled when its role is lost."""
+    """A call in flight, which is recalled when this courier loses the role."""
 
     role: str
     call: HttpCall
@@ -47,8 +47,8 @@
 class HealthCheckCalls:
     """The health checks of this courier between their announcement and their end.
 
-    The lease, the endpoint list, what is offline by hand and the destination's backoff are looked at once
-    more right before the first byte is sent.
+    Right before the first byte of a check is sent, the lease, the endpoint list, the endpoints that an
+    operator took offline, and the destination's backoff are checked again.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         self.counts: Counter[str] = Counter(dict.fromkeys(("sent", "unheard", "withdrawn"), 0))
 
     def send(self, check: AnnouncedCheck) -> None:
-        """Send a check that a majority has acknowledged, if it may still be sent."""
+        """Send a check that a majority has acknowledged, if its endpoint and its lease still exist."""
         target, role = check.target, check.role
         record = self._delivery.directory.endpoints.get(target.endpoint_number)
         remaining_ms = self._leases.remaining_ms(role)
@@ -87,27 +87,27 @@
             lambda result: self._on_result(check, result),
             CallOptions(start_by_ms=now + remaining_ms),
         )
-        if target.name in self.pending:  # it may have ended at once
+        if target.name in self.pending:  # the call may have ended already
             self._calls[target.name] = CheckInFlight(role, call)
 
     def expire(self, check: AnnouncedCheck) -> None:
-        """Give up a check that too few members have acknowledged in time."""
+        """Withdraw a check that no majority acknowledged before the timeout."""
         self.counts["unheard"] += 1
         self.withdraw(check)
 
     def withdraw(self, check: AnnouncedCheck) -> None:
-        """Tell all members that an announced check was surely not sent."""
+        """Announce to all members that an announced check was certainly not sent."""
         self.pending.discard(check.target.name)
         self._bus.broadcast(HealthCheckCompleted(check.target.name, check.sequence, check.epoch, False))
 
     def recall_without_lease(self) -> None:
-        """Recall the partially written checks of roles whose lease is over."""
+        """Recall the partially written checks of roles whose lease has expired."""
         for role, call in list(self._calls.values()):
             if not self._leases.permitted_epoch(role):
                 call.recall()
 
     def recall_role(self, role: str) -> None:
-        """Recall the checks of a role that this courier gives up."""
+        """Recall the checks of a role that this courier releases."""
         for check_role, call in list(self._calls.values()):
             if check_role == role:
                 call.recall()
@@ -117,7 +117,7 @@
         return http.encode_request("GET", self._path, str(record.address), (("X-Probe", probe_header),))
 
     def _confirm(self, check: AnnouncedCheck) -> bool:
-        """Return whether a check may still be sent, right before its first byte; record it if so."""
+        """Return whether a check may still be sent, right before its first byte; record its start if so."""
         now, target = self._node.now_ms(), check.target
         if (
             self._leases.permitted_epoch(check.role) != check.epoch
@@ -141,7 +141,7 @@
             self.withdraw(check)
             return
         self.pending.discard(target.name)
-        if known is None or known.sequence_number != check.sequence:  # a failed connect counts, too
+        if known is None or known.sequence_number != check.sequence:  # a failed connect counts as a check
             plan.record_start(now, target.name, target.destination, check.sequence, check.epoch)
         started_ms = plan.endpoints[target.name].started_at_ms
         self._record_backoff(now, target.destination, retry_after_ms(result))
--- a/winchspan/cluster/health_check_service.py
+++ b/winchspan/cluster/health_check_service.py
@@ -1,7 +1,7 @@
-"""Health checks of endpoints as a cluster, and the backoff of destinations that its members share.
+"""Coordinated health checks of endpoints, and the backoff of destinations that members share.
 
-Before the first byte of a check is sent, a majority has acknowledged it (`cluster_tasks/quorum.py`), and
-before the first check under an epoch a majority has reported what it knows.
+A health check is sent only after a majority has acknowledged its announcement (`cluster_tasks/quorum.py`).
+The first check under an epoch is announced only after a majority has reported its health state.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
 from winchspan.cluster_tasks.shared_backoff import SharedBackoff
 from winchspan.leases.fencing import EpochFence
 
-POLL_INTERVAL_MS: Final = 100.0  # between two checks of what is due
+POLL_INTERVAL_MS: Final = 100.0  # between two searches for due health checks
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckOptions:
-    """What the operator's file says of health checks.
+    """Options of health checks from the operator's file.
 
     Attributes:
-        interval_ms: between two health checks of an endpoint; 0: none.
-        path: what they ask for.
-        shares_backoff: whether a Retry-After that another member received binds this courier, too.
+        interval_ms: time between two health checks of an endpoint; 0 disables them.
+        path: path of the HTTP request.
+        shares_backoff: whether this courier obeys a Retry-After that another member received.
     """
 
     interval_ms: float
@@ -47,7 +47,7 @@
 
 
 class HealthCheckService:
-    """This courier's part in health checks and shared backoff."""
+    """This courier's participation in health checks and shared backoff."""
 
     def __init__(
         self,
@@ -60,9 +60,9 @@
 
         Args:
             node: this process.
-            delivery: its endpoints and connections.
-            consensus: knows who holds a role, and reaches the other members.
-            options: how often, and what for.
+            delivery: endpoints and connections of this courier.
+            consensus: provides the leases and the message bus.
+            options: interval and path of the checks.
         """
         self._node = node
         self._delivery = delivery
@@ -85,7 +85,7 @@
         self._bus.subscribe(BackoffObserved, self._on_backoff)
 
     def start(self) -> None:
-        """Start."""
+        """Connect the service to the transport and the leases, and schedule health checks if enabled."""
         self._delivery.transport.on_backoff = self._share_backoff
         if self._options.shares_backoff:
             self._delivery.transport.shared_backoff_ms = self._backoff_ms
@@ -99,7 +99,7 @@
         self._state.plan.reconfigure(settings)
 
     def close(self) -> None:
-        """Check nothing any more."""
+        """Stop sending health checks."""
         self._is_closed = True
 
     def metrics(self) -> dict[str, int]:
@@ -152,7 +152,7 @@
                 self._calls.expire(check)
 
     def _announce(self, now: float, target: HealthCheckTarget) -> None:
-        """Tell all members of a health check; it is sent once a majority has acknowledged that."""
+        """Announce a health check to all members; it is sent once a majority has acknowledged it."""
         role = shard_role(target.destination)
         epoch, known = self._sync.permitted_epoch(role), self._state.plan.endpoints.get(target.name)
         sequence = known.sequence_number + 1 if known is not None else 1
@@ -173,16 +173,18 @@
             self._calls.send(check)
 
     def _on_role_lost(self, role: str) -> None:
-        """Take back what is not completely sent, before anybody hears that the role is given up."""
+        """Recall partially sent checks of a role before any member learns that the role is released."""
         self._sync.forget(role)
         self._calls.recall_role(role)
 
     # ---- messages ----------------------------------------------------------------------------------------
     def _on_starting(self, sender: str, message: HealthCheckStarting) -> None:
-        if message.role != shard_role(message.destination):  # no role of ours: the fence's table is bounded
+        if message.role != shard_role(
+            message.destination
+        ):  # an unknown role would add an entry to the fence's table
             return
         is_accepted = self._state.fence.admit(message.role, message.epoch)
-        if is_accepted:  # it may be sent as late as its quorum times out
+        if is_accepted:  # the check may be sent until its quorum request times out
             latest_ms = self._node.now_ms() + QUORUM_TIMEOUT_MS
             self._state.plan.record_start(
                 latest_ms, message.endpoint, message.destination, message.sequence, message.epoch
@@ -217,7 +219,7 @@
             self._node.now_ms(), message.destination, message.remaining_ms
         ):
             logger.debug(
-                "fleet: {} got a Retry-After of {:.0f} ms from destination {}",
+                "fleet: {} received a Retry-After of {:.0f} ms from destination {}",
                 sender,
                 message.remaining_ms,
                 message.destination,
--- a/winchspan/cluster/health_state.py
+++ b/winchspan/cluster/health_state.py
@@ -1,4 +1,4 @@
-"""What the members know of the endpoints' health, and how the holder of a role learns it from a majority."""
+"""Health state of the endpoints, and its synchronization from a majority to the holder of a role."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 from winchspan.cluster_tasks.shared_backoff import SharedBackoff
 from winchspan.leases.fencing import EpochFence
 
-QUORUM_TIMEOUT_MS: Final = 200.0  # for a majority to hear of a health check, or to tell what it knows
-MIN_LEASE_MS: Final = 350.0  # that a lease must have left when a health check is announced
+QUORUM_TIMEOUT_MS: Final = 200.0  # for a majority to acknowledge a health check or to report its health state
+MIN_LEASE_MS: Final = 350.0  # remaining time of the lease that the announcement of a health check requires
 
 
 @dataclass(frozen=True, slots=True)
 class HealthState:
-    """What this courier knows, and what it has asked a majority.
+    """Health state that this courier has, and its open requests to a majority.
 
     Attributes:
-        plan: health checks by endpoint, and when each is due.
-        backoff: of destinations, as any member received it.
-        requests: to a majority, until they are answered or expire.
+        plan: health of each endpoint, and the due time of its next check.
+        backoff: backoff of destinations that any member received.
+        requests: open requests to a majority.
         fence: rejects announcements of superseded role holders.
     """
 
@@ -48,7 +48,7 @@
 
 
 class HealthStateSync:
-    """Lets the holder of a role act only once a majority has reported what was done under earlier epochs."""
+    """Lets the holder of a role act only after a majority has reported the checks of earlier epochs."""
 
     def __init__(self, node: ClusterNode, consensus: ConsensusService, state: HealthState) -> None:
         self._node = node
@@ -63,13 +63,13 @@
         self._bus.subscribe(HealthStateReported, self._on_reported)
 
     def permitted_epoch(self, role: str) -> int:
-        """Return the epoch under which a health check may be announced now; 0: none may."""
+        """Return the epoch under which a health check may be announced now; 0 if none may be."""
         epoch = self._leases.permitted_epoch(role)
         has_min_lease = self._leases.remaining_ms(role) >= MIN_LEASE_MS
         return epoch if epoch and has_min_lease and self._synced_epochs.get(role) == epoch else 0
 
     def request_missing(self, now: float, targets: list[HealthCheckTarget]) -> None:
-        """Ask all members about the roles that this courier holds under a new epoch."""
+        """Request the health state of the roles that this courier holds under a new epoch."""
         for role in sorted({shard_role(target.destination) for target in targets}):
             epoch = self._leases.permitted_epoch(role)
             is_open = RoleEpoch(role, epoch) in self._open_requests.values()
@@ -77,11 +77,11 @@
                 self._request(now, RoleEpoch(role, epoch))
 
     def expire(self, request_number: int) -> None:
-        """Forget a request that too few have answered in time."""
+        """Remove a request that no majority answered before the timeout."""
         self._open_requests.pop(request_number, None)
 
     def forget(self, role: str) -> None:
-        """Forget that a majority has reported: the role is another's now."""
+        """Discard the synchronization of a role that another member holds now."""
         self._synced_epochs.pop(role, None)
 
     def _request(self, now: float, role_epoch: RoleEpoch) -> None:
@@ -94,7 +94,7 @@
             self._complete(number)
 
     def _on_requested(self, sender: str, message: HealthStateRequested) -> None:
-        """Answer; from now on no older epoch of the role is accepted here."""
+        """Report the health state of a role, and reject older epochs of the role from now on."""
         if message.role not in self._roles:
             return
         is_accepted = self._state.fence.admit(message.role, message.epoch)
@@ -131,7 +131,7 @@
             self._complete(message.request_number)
 
     def _complete(self, request_number: int) -> None:
-        """Note that a majority has reported: nothing that was done under earlier epochs is unknown here."""
+        """Record that a majority has reported, so that this courier has all checks of earlier epochs."""
         role_epoch = self._open_requests.pop(request_number, None)
         if role_epoch is not None:
             self._synced_epochs[role_epoch.role] = role_epoch.epoch
--- a/winchspan/cluster/journal_hand_over.py
+++ b/winchspan/cluster/journal_hand_over.py
@@ -1,4 +1,4 @@
-"""The hand-over of this courier's journal to another one at SIGTERM."""
+"""Hand-over of this courier's journal to another courier at SIGTERM."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from winchspan.leases.commands import journal_role
 from winchspan.net.notifications import NotificationQueue
 
-ATTEMPT_TIMEOUT_MS: Final = 1_500.0  # for attempts in flight, before they are given up
-REPLICATION_TIMEOUT_MS: Final = 500.0  # and for their ends to be replicated
+ATTEMPT_TIMEOUT_MS: Final = 1_500.0  # for attempts in flight, which are then cancelled
+REPLICATION_TIMEOUT_MS: Final = 500.0  # after that, for the replication of their results
 POLL_INTERVAL_MS: Final = 25.0
 
 
 class OwnJournal(Protocol):
-    """This courier's journal, as far as its hand-over looks at it."""
+    """This courier's journal, as the hand-over uses it."""
 
     @property
     def unreplicated_count(self) -> int:
-        """How many records are not replicated yet."""
+        """Number of records that are not replicated yet."""
 
     def is_owner(self) -> bool:
         """Return whether this courier may act on its journal now."""
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOverPorts:
-    """What the hand-over acts on."""
+    """Components that the hand-over uses."""
 
     journal: OwnJournal
     notifications: NotificationQueue
@@ -42,7 +42,11 @@
 
 
 class JournalHandOver:
-    """Admits nothing more, waits for attempts in flight, and gives the journal up."""
+    """Stops the admission of messages, waits for attempts in flight, and surrenders the journal's lease.
+
+    Attributes:
+        is_complete: whether the lease is surrendered.
+    """
 
     def __init__(self, node: ClusterNode, consensus: ConsensusService, ports: HandOverPorts) -> None:
         self._node = node
@@ -54,23 +58,23 @@
         self.is_complete = False
 
     def attach_engine(self, engine: DeliveryEngine) -> None:
-        """Take the engine whose messages are handed over."""
+        """Set the engine whose messages are handed over."""
         self._engine = engine
 
     @property
     def is_started(self) -> bool:
-        """Whether it has begun."""
+        """Whether the hand-over has started."""
         return self._attempt_deadline_ms > 0.0
 
     def start(self) -> None:
-        """Begin, unless it has begun already."""
+        """Start the hand-over, unless it has started already."""
         if not self._attempt_deadline_ms:
             self._attempt_deadline_ms = self._node.now_ms() + ATTEMPT_TIMEOUT_MS
             self._engine.freeze()
             self._poll()
 
     def close(self) -> None:
-        """Do nothing any more."""
+        """Stop the hand-over."""
         self._is_closed = True
 
     def _poll(self) -> None:
@@ -78,7 +82,7 @@
             return
         now = self._node.now_ms()
         if self._engine.in_flight_count and now >= self._attempt_deadline_ms:
-            # They may have been executed: whoever continues them is notified of that.
+            # These attempts may have been executed; the journal tells the successor so.
             self._ports.counters.abandoned_attempts += self._engine.cancel_in_flight()
         is_waiting = bool(self._engine.in_flight_count) or self._ports.journal.unreplicated_count > 0
         has_time = now < self._attempt_deadline_ms + REPLICATION_TIMEOUT_MS
--- a/winchspan/cluster/journal_stream.py
+++ b/winchspan/cluster/journal_stream.py
@@ -1,4 +1,4 @@
-"""The stream of this courier's journal to its replicas, and what waits for it."""
+"""Streams this courier's journal to its replicas, and calls back when records are replicated."""
 
 from __future__ import annotations
 
@@ -17,21 +17,24 @@
 from winchspan.storage.journal import Journal
 from winchspan.storage.record_file import iterate_records
 
-MAX_UNREPLICATED_RECORDS: Final = 256  # that may wait for a replica; with more, no message is admitted
+MAX_UNREPLICATED_RECORDS: Final = 256  # with more, no message is admitted
 
 
 class ReplicationWaiter(NamedTuple):
-    """Callbacks that wait until a record is replicated, or the journal is another's."""
+    """Callbacks for when a record is replicated, or another courier has taken the journal over."""
 
     record_number: int
     on_replicated: Callable[[], None]
-    on_lost: Callable[[], None]
+    on_taken_over: Callable[[], None]
 
 
 class JournalStream:
-    """Sends this courier's journal to its replicas while the journal is its own.
+    """Sends this courier's journal to its replicas while this courier owns the journal.
 
-    It is open from when the journal is known to be this courier's until another courier takes it over.
+    The stream is open from the first lease on the journal until another courier takes the journal over.
+
+    Attributes:
+        placer: chooses the members that hold the replicas.
     """
 
     def __init__(
@@ -54,73 +57,73 @@
     # ---- state -------------------------------------------------------------------------------------------
     @property
     def is_open(self) -> bool:
-        """Whether the journal is this courier's, though its lease may be over."""
+        """Whether this courier owns the journal; its lease may have expired."""
         return self._stream is not None
 
     @property
     def epoch(self) -> int:
-        """The epoch under which the journal is this courier's; 0: it is not."""
+        """Epoch under which this courier owns the journal; 0 if it does not own it."""
         return self._stream.epoch if self._stream is not None else 0
 
     @property
     def unreplicated_count(self) -> int:
-        """How many records are not replicated yet."""
+        """Number of records that are not replicated yet."""
         return self._stream.unacknowledged_count if self._stream is not None else 0
 
     @property
     def replicated_number(self) -> int:
-        """The number of the last record that is replicated."""
+        """Number of the last replicated record."""
         return self._stream.acknowledged_index if self._stream is not None else 0
 
     @property
     def next_number(self) -> int:
-        """The number of the record that is written next."""
+        """Number of the next record to be written."""
         return self._stream.last_index + 1 if self._stream is not None else 0
 
     def lag_ms(self) -> float:
-        """Return for how long the oldest record has waited for its replicas."""
+        """Return for how long the oldest unreplicated record has waited, in ms."""
         return self._stream.lag_ms(self._node.now_ms()) if self._stream is not None else 0.0
 
     def is_owner(self) -> bool:
-        """Return whether this courier may act on its journal at this moment."""
+        """Return whether this courier holds the lease on its journal now, under the epoch of the stream."""
         return self._stream is not None and self._leases.permitted_epoch(self._role) == self._stream.epoch
 
     def may_admit(self) -> bool:
-        """Return whether a message may be admitted, so that it will be replicated."""
+        """Return whether a new message may be admitted, since its record can be replicated."""
         return self._may_release() and self.unreplicated_count <= MAX_UNREPLICATED_RECORDS
 
     # ---- lifecycle ---------------------------------------------------------------------------------------
     def open(self, now: float, epoch: int) -> None:
-        """Begin a stream under a new epoch."""
+        """Start a stream under a new epoch."""
         self._stream = ReplicationStream(self._node.name, epoch, self.placer.replicas, now)
 
     def drop(self) -> None:
-        """End the stream of a journal that is another's; tell all that wait for it."""
+        """End the stream after another courier has taken the journal over, and notify all waiters."""
         self._stream = None
         waiters, self._waiters = self._waiters, deque()
         for waiter in waiters:
-            waiter.on_lost()
+            waiter.on_taken_over()
 
     def close(self) -> None:
-        """Send nothing any more."""
+        """Stop sending."""
         self._is_closed = True
 
     # ---- sending -----------------------------------------------------------------------------------------
-    def secure(self, then: Callable[[], None], lost: Callable[[], None]) -> None:
-        """Call `then` once all that is written by now is replicated; `lost` if the journal is another's."""
+    def when_replicated(self, on_replicated: Callable[[], None], on_taken_over: Callable[[], None]) -> None:
+        """Call back once all records written so far are replicated, or the journal is taken over."""
         stream = self._stream
         if stream is None:
-            lost()
+            on_taken_over()
         elif not self._waiters and stream.acknowledged_index >= stream.last_index and self._may_release():
-            then()
+            on_replicated()
         else:
-            self._waiters.append(ReplicationWaiter(stream.last_index, then, lost))
+            self._waiters.append(ReplicationWaiter(stream.last_index, on_replicated, on_taken_over))
             if not self._is_flush_scheduled:
                 self._is_flush_scheduled = True
                 self._node.loop.call_soon(self._flush)
 
     def on_written(self, data: bytes) -> None:
-        """Take records of the journal; they are sent once somebody waits for one, or at the next update."""
+        """Append encoded records to the stream; `when_replicated` and `update` send them."""
         if self._stream is None:
             return
         start, now = 0, self._node.now_ms()
@@ -129,13 +132,13 @@
             start += size
 
     def update(self, now: float) -> None:
-        """See to the replicas' placement, and send what is written."""
+        """Update the placement of the replicas, and send unsent records."""
         if self._stream is not None:
             self.placer.update(now, self._stream)
             self._flush()
 
     def on_connected(self, member: str) -> None:
-        """Ask a replica node that is connected again how far it is."""
+        """Query the progress of the replica on a member whose connection is established."""
         message = self._stream.progress_query(member) if self._stream is not None else None
         if message is not None:
             self._bus.send(member, message)
@@ -154,7 +157,7 @@
         return self.placer.has_enough_replicas() and self.is_owner()
 
     def _release_waiters(self) -> None:
-        """Call back whoever waits for what is replicated now."""
+        """Notify the waiters whose records are replicated now."""
         while (
             self._waiters
             and self._stream is not None
--- a/winchspan/cluster/lease_service.py
+++ b/winchspan/cluster/lease_service.py
@@ -1,4 +1,4 @@
-"""Leases as they run in a courier: holding roles, and as the leader, granting them."""
+"""Holds this courier's leases, and grants leases to all members while this courier leads."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LeasePorts:
-    """What leases ask of consensus.
+    """Functions of the consensus service that leases use.
 
     Attributes:
         send: sends a message to a store.
         propose: proposes an entry, as the leader.
-        plan: looks at once who is to hold what, as the leader.
+        plan: plans the assignment of roles at once, as the leader.
     """
 
     send: Callable[[str, LeaseMessage], None]
@@ -45,7 +45,12 @@
 
 
 class LeaseService:
-    """The leases that this courier holds, and while it leads, those that it grants."""
+    """The leases that this courier holds, and those that it grants while it leads.
+
+    Attributes:
+        table: replicated table of leases and replica placements.
+        preferred_holder: chooses the holder of a role; None for the default choice.
+    """
 
     def __init__(
         self,
@@ -55,14 +60,14 @@
         roles: tuple[str, ...],
         timing: LeaseTiming,
     ) -> None:
-        """Hold nothing yet.
+        """Start without leases.
 
         Args:
             node: this process.
-            raft: the state machine of consensus.
-            clocks: say who may hold a lease.
-            roles: that are to have a holder.
-            timing: of leases.
+            raft: state machine of consensus.
+            clocks: clock checks, which decide who may hold a lease.
+            roles: names of the leased roles.
+            timing: durations of leases.
         """
         self._node = node
         self._raft = raft
@@ -73,31 +78,31 @@
         self.table = LeaseTable()
         self._holder = LeaseHolder(node.name, node.incarnation, timing)
         self._manager: LeaseManager | None = None  # while this courier leads
-        self._latest_renewal_end_ms = 0.0  # of all that this process has granted, in any term
+        self._latest_renewal_end_ms = 0.0  # over all leases that this process has granted, in any term
         self._loss_callbacks: list[Callable[[str], None]] = []
         self.preferred_holder: HolderPreference | None = None
 
     def connect(self, ports: LeasePorts) -> None:
-        """Take what leases ask of consensus, which is built after them."""
+        """Set the functions of the consensus service, which is created after this service."""
         self._ports = ports
 
     # ---- as a holder -------------------------------------------------------------------------------------
     def permitted_epoch(self, role: str) -> int:
-        """Return the epoch under which this courier may act in a role at this moment; 0: it may not."""
+        """Return the epoch under which this courier may act in a role now; 0 if it may not."""
         if self._clocks.is_drifting(self._node.name):
             return 0
         return self._holder.valid_epoch(role, self._node.now_ms())
 
     def remaining_ms(self, role: str) -> float:
-        """Return for how long this courier may still act in a role."""
+        """Return for how many ms this courier may still act in a role."""
         return self._holder.remaining_ms(role, self._node.now_ms())
 
     def on_lost(self, callback: Callable[[str], None]) -> None:
-        """Call back with a role that this courier gives up, before anybody hears that it has."""
+        """Call back with each role that this courier releases, before the release is sent to any member."""
         self._loss_callbacks.append(callback)
 
     def surrender(self, role: str) -> None:
-        """Give a role up by this courier's own wish; the leader is notified that its lease is over."""
+        """Release a role on this courier's own initiative, and notify the leader."""
         released = self._holder.surrender(role)
         if self._manager is not None:
             self._manager.handle_surrendered(self._node.now_ms(), self._node.name, released, self.table)
@@ -112,7 +117,7 @@
             self._ports.send(self._raft.leader, request)
 
     def _release(self, request: ReleaseLease) -> LeaseReleased:
-        """Give a role up; whoever acts in it is notified first."""
+        """Release a role at the leader's request, after the services that act in it are notified."""
         answer = self._holder.handle_release(request)
         for callback in self._loss_callbacks:
             callback(request.duty)
@@ -120,23 +125,23 @@
 
     @property
     def lease_ms(self) -> float:
-        """How long a lease lasts."""
+        """Duration of a lease in ms."""
         return self._timing.lease_ms
 
     # ---- as the leader -----------------------------------------------------------------------------------
     @property
     def is_granting(self) -> bool:
-        """Whether this courier leads, so that it grants leases."""
+        """Whether this courier grants leases, as the leader."""
         return self._manager is not None
 
     def set_roles(self, roles: tuple[str, ...]) -> None:
-        """Change the roles that are to have a holder."""
+        """Change the leased roles."""
         self._roles = roles
         if self._manager is not None:
             self._manager.roles = roles
 
     def set_leading(self, *, is_leading: bool) -> None:
-        """Begin or end to grant leases."""
+        """Start or stop granting leases."""
         if not is_leading:
             self._manager = None
             return
@@ -145,12 +150,12 @@
         )
 
     def plan(self, now: float, eligible: Mapping[str, int], stores: Mapping[str, str]) -> None:
-        """See to it that each role has a live holder.
+        """Assign each role to a live holder.
 
         Args:
-            now: the clock's reading.
-            eligible: incarnations of members that may hold a role.
-            stores: stores of voting members, by name.
+            now: clock reading, ms.
+            eligible: incarnations of the members that may hold a role, by name.
+            stores: store ids of the voting members, by name.
         """
         if self._manager is None:
             return
@@ -161,13 +166,13 @@
                 self._ports.send(stores[step[0]], step[1])
 
     def next_expiry_ms(self, now: float, eligible: Mapping[str, int]) -> float | None:
-        """Return when the first lease of a member that is gone expires; None unless this courier leads."""
+        """Return the first lease expiry of a holder that is not eligible; None unless this courier leads."""
         if self._manager is None:
             return None
         return self._manager.next_absent_holder_expiry(now, eligible, self.table)
 
     def _renew(self, now: float, request: RenewLeases) -> LeasesRenewed | None:
-        """Renew leases, if this courier surely leads."""
+        """Renew a member's leases; return None unless this courier leads and the member's clock is sound."""
         if self._manager is None or not self._clocks.may_hold_leases(request.owner):
             return None
         renewal = self._manager.renew(now, request, self.table, self._raft.has_confirmed_leadership(now))
@@ -176,7 +181,7 @@
 
     # ---- messages ----------------------------------------------------------------------------------------
     def receive(self, sender: str, source: str, message: LeaseMessage) -> None:
-        """Take a message of a member's store."""
+        """Handle a message from a member's store."""
         now = self._node.now_ms()
         match message:
             case RenewLeases():
@@ -198,7 +203,7 @@
                     self._ports.plan()
 
     def receive_own(self, message: object) -> None:
-        """Take a message of the leader to itself, which holds roles, too."""
+        """Handle a message that this courier sends to itself: the leader holds roles, too."""
         now = self._node.now_ms()
         match message:
             case RenewLeases():
@@ -211,11 +216,11 @@
 
     # ---- the replicated table ----------------------------------------------------------------------------
     def apply(self, entry: LogEntry) -> str:
-        """Apply a committed entry to the table; return the role that it assigns, or an empty string."""
+        """Apply a committed entry to the table; return the role that it assigns, empty if none."""
         return self.table.apply(entry.index, entry.data)
 
     def on_role_assigned(self, role: str) -> None:
-        """End what an assignment ends here, and ask for the lease if the role is this courier's."""
+        """End this courier's lease on a role assigned to another, and request the lease on its own role."""
         lease = self.table.leases[role]
         self._holder.handle_reassigned(role, lease)
         if lease.holder == self._node.name:
@@ -224,7 +229,7 @@
 
     # ---- status ------------------------------------------------------------------------------------------
     def status(self) -> dict[str, dict[str, Any]]:
-        """Return holder, epoch and remaining time of each role."""
+        """Return holder, epoch and own remaining time of each role."""
         now = self._node.now_ms()
         document = {}
         for role in self._roles:
@@ -237,5 +242,5 @@
         return document
 
     def metrics(self) -> dict[str, int]:
-        """Return the epoch under which this courier may act in each role."""
+        """Return the epoch under which this courier may act in each role; 0 if it may not."""
         return {f"fleet.duty.{role}": self.permitted_epoch(role) for role in self._roles}
--- a/winchspan/cluster/message_bus.py
+++ b/winchspan/cluster/message_bus.py
@@ -1,4 +1,4 @@
-"""Typed messages between members, on the stream transport."""
+"""Sends and receives typed messages between members over the stream transport."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class StoreMessageReceiver(Protocol):
-    """Whoever receives the messages that are addressed to this member's store."""
+    """Receiver of the messages that are addressed to this member's store."""
 
     @property
     def store_id(self) -> str:
@@ -38,11 +38,11 @@
         """Return whether a member's store was rolled back, so that its messages are dropped."""
 
     def receive(self, sender: str, source: str, message: ConsensusMessage | LeaseMessage) -> None:
-        """Take a message of a member's store."""
+        """Handle a message from a member's store."""
 
 
 class MessageBus:
-    """Sends messages to other members, and passes theirs on to handlers by type."""
+    """Sends messages to other members, and dispatches received messages to handlers by type."""
 
     def __init__(
         self, node: ClusterNode, members: Mapping[str, Address], secret: bytes, receiver: StoreMessageReceiver
@@ -51,9 +51,9 @@
 
         Args:
             node: this process.
-            members: addresses by name, this member's own among them.
-            secret: signs each frame; empty: none is signed.
-            receiver: of messages to this member's store.
+            members: addresses by name, this member's own included.
+            secret: key that signs each frame; empty for unsigned frames.
+            receiver: receiver of messages to this member's store.
         """
         self._node = node
         self._receiver = receiver
@@ -86,7 +86,7 @@
         return [name for name in self._transport.members if name != self._node.name]
 
     def is_connected(self, member: str) -> bool:
-        """Return whether there is a connection to a member."""
+        """Return whether a connection to a member is established."""
         return self._transport.is_connected(member)
 
     def open(self, listener: Listener) -> None:
@@ -99,7 +99,7 @@
         self._handlers[PLAIN_KINDS[message_type]] = lambda sender, body: handler(sender, decoder.decode(body))
 
     def on_connected(self, callback: Callable[[str], None]) -> None:
-        """Call back with a member's name whenever a connection to it is up."""
+        """Call back with a member's name whenever a connection to it is established."""
         self._connection_callbacks.append(callback)
 
     def send(self, member: str, message: object) -> bool:
@@ -150,7 +150,7 @@
     def _open_envelope(
         self, sender: str, kind: str, body: bytes
     ) -> tuple[str, ConsensusMessage | LeaseMessage] | None:
-        """Return source and message of an envelope; None, and counted, if it is not to be taken."""
+        """Return source and message of an envelope; count it as dropped and return None if it is rejected."""
         envelope = decode_envelope(body)
         if self._receiver.is_rolled_back(sender):
             self._transport.dropped["an older folder"] += 1
--- a/winchspan/cluster/messages.py
+++ b/winchspan/cluster/messages.py
@@ -1,11 +1,11 @@
 """The messages that members exchange over the stream transport, and their kinds on the wire.
 
 A frame holds a kind and one MessagePack value. Members of this and of the previous version are in one cluster
-during a rolling upgrade, so that kinds, the order of positional fields and the encoded names of all others
-never change; a field that has been renamed here keeps its encoded name (`name=`).
+during a rolling upgrade. Kinds, the order of positional fields, and the encoded names of all other fields
+therefore never change; a renamed field keeps its encoded name (`name=`).
 
-Consensus and lease messages are addressed to one store of a member and travel in an `Envelope`; all others
-are addressed to whichever process the member runs at the moment.
+Consensus and lease messages are addressed to one store of a member and travel in an `Envelope`. All others
+are addressed to the process that the member runs at the moment.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 class Envelope(msgspec.Struct):
-    """A message from one store to another, each by its identity."""
+    """A message from one store to another, each given by its identity."""
 
     source: str
     destination: str = msgspec.field(name="to")
@@ -50,25 +50,25 @@
 
 
 class NodeAnnouncement(msgspec.Struct):
-    """What a member tells of itself: its store, its journal, its place and its clock.
+    """State of a member: its store, its journal, its location and its clock.
 
     Attributes:
-        store_id: identity of its store.
+        store_id: identity of the member's store.
         is_empty: whether the store has never taken part in consensus.
-        incarnation: of its process.
-        clock_ms: what its clock reads.
-        zone: where it runs.
-        region: where it runs.
-        is_clock_drifting: whether it knows that its own clock is off, so that it holds no role.
-        journal_epoch: the epoch under which its journal is its own; 0: it has none.
-        store_start_count: how often a process has started with its store.
-        term: of its consensus state.
-        commit_index: of its log.
-        last_index: of its log.
-        known_progress: the most that the receiver's store is known to have said, by that store's identity.
-        loaded_state: what its process has found in the store; unset by earlier versions.
-        known_promise: what the receiver's store of `known_progress` is known to have promised; unset by
-            earlier versions, and where nothing is known.
+        incarnation: incarnation of the member's process.
+        clock_ms: clock reading, ms.
+        zone: zone of the member.
+        region: region of the member.
+        is_clock_drifting: whether the member's own clock drifts too much, so that it holds no role.
+        journal_epoch: epoch under which the member owns its journal; 0 if it does not own it.
+        store_start_count: number of processes that have started with the store.
+        term: current term.
+        commit_index: index of the last committed log entry.
+        last_index: index of the last log entry.
+        known_progress: identity of the receiver's store, and the greatest progress that it has reported.
+        loaded_state: state that the process found in the store at its start; unset by earlier versions.
+        known_promise: votes and log entries that the store of `known_progress` has acknowledged; unset by
+            earlier versions, and if none are known.
     """
 
     store_id: str = msgspec.field(name="member")
@@ -101,14 +101,14 @@
 
 
 class HealthCheckAcknowledged(msgspec.Struct, array_like=True):
-    """An announced check is known here; it is not accepted if a later epoch is known."""
+    """The sender has recorded an announced check, or rejects it because it knows a later epoch."""
 
     request_number: int
     is_accepted: bool
 
 
 class HealthCheckCompleted(msgspec.Struct, array_like=True):
-    """A check has ended, `age_ms` after it was sent; or it was surely not sent."""
+    """A check that was sent `age_ms` ago has ended, or a check was certainly not sent."""
 
     endpoint: str
     sequence: int
@@ -119,7 +119,7 @@
 
 
 class HealthStateRequested(msgspec.Struct, array_like=True):
-    """The holder of a role under a new epoch asks what is known of the role's endpoints."""
+    """The holder of a role under a new epoch requests the health state of the role's endpoints."""
 
     request_number: int
     role: str
@@ -127,7 +127,7 @@
 
 
 class EndpointHealthRow(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """What is known of one endpoint; `is_healthy` is None while its check is in flight."""
+    """Health of one endpoint; `is_healthy` is None while its check is in flight."""
 
     endpoint: str
     destination: int
@@ -139,7 +139,7 @@
 
 
 class HealthStateReported(msgspec.Struct, array_like=True):
-    """What is known of a role's endpoints, and the backoff of each destination in ms."""
+    """Health state of a role's endpoints, and the remaining backoff of each destination in ms."""
 
     request_number: int
     is_accepted: bool
@@ -148,7 +148,7 @@
 
 
 class BackoffObserved(msgspec.Struct, array_like=True):
-    """A destination has sent a Retry-After to the sender."""
+    """The sender has received a Retry-After from a destination."""
 
     destination: int
     remaining_ms: float
@@ -156,13 +156,13 @@
 
 # ---- replication ---------------------------------------------------------------------------------------
 class ReplicaProgressRequested(msgspec.Struct, array_like=True):
-    """The leader asks how far the replicas of an owner's journal go."""
+    """The leader requests the progress of the replicas of an owner's journal."""
 
     owner: str
 
 
 class ReplicaProgressReported(msgspec.Struct, array_like=True):
-    """How far this replica goes; epoch 0: there is none here."""
+    """Epoch and last record of the sender's replica; epoch 0 if it has none."""
 
     owner: str
     epoch: int
@@ -170,34 +170,34 @@
 
 
 class EpochPromiseRequested(msgspec.Struct, array_like=True):
-    """A new owner asks that nothing of an older epoch be taken for a journal."""
+    """A new owner requests the promise to accept no records of a journal under an older epoch."""
 
     owner: str
     epoch: int
 
 
 class EpochPromised(msgspec.Struct, array_like=True):
-    """An epoch has been promised, and the promise is on disk."""
+    """The sender has persisted the promise of an epoch."""
 
     owner: str
     epoch: int
 
 
 class LateDeliveriesReported(msgspec.Struct, array_like=True):
-    """A courier whose journal was taken over had delivered these messages, which nobody else knew."""
+    """Messages that the sender delivered, though its journal has been taken over without these deliveries."""
 
     message_ids: list[str]
 
 
 class NodeLeaving(msgspec.Struct, array_like=True):
-    """A process hands its work over."""
+    """A process hands its journal over."""
 
     incarnation: int
 
 
 # ---- claims --------------------------------------------------------------------------------------------
 class ClaimRow(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """An open message, the marks of its key and token, and how much of its time is left."""
+    """An open message, the lock keys of its ordering key and token, and the time to its deadline."""
 
     message_id: str
     lock_keys: list[bytes]
@@ -205,7 +205,7 @@
 
 
 class ClaimsAnnounced(msgspec.Struct, array_like=True):
-    """Open messages of an owner that others' messages of the same key or token wait for."""
+    """Open messages of an owner, which block other couriers' messages of the same key or token."""
 
     owner: str
     epoch: int
@@ -213,7 +213,7 @@
 
 
 class ClaimCompleted(msgspec.Struct, array_like=True):
-    """A claimed message is complete; `executed_ago_ms` is negative if it was never sent."""
+    """A claimed message is completed; `executed_ago_ms` is negative if it was never sent."""
 
     owner: str
     epoch: int
@@ -223,14 +223,14 @@
 
 
 class ClaimsReleased(msgspec.Struct, array_like=True):
-    """The owner is alive under the epoch that it had: nobody claims for it any more."""
+    """The owner is alive under its epoch, so that the claims made for it by others end."""
 
     owner: str
     epoch: int
 
 
 class PossiblyExecuted(msgspec.Struct, array_like=True):
-    """A message with a token that somebody has claimed may have been executed elsewhere."""
+    """A message with a claimed token may have been executed `age_ms` ago by the sender."""
 
     lock_key: bytes
     age_ms: float
@@ -239,7 +239,7 @@
 
 # ---- redelivery ----------------------------------------------------------------------------------------
 class RedeliveryQuotaGranted(msgspec.Struct, array_like=True):
-    """The role's holder allows so many redeliveries by rule."""
+    """Redeliveries that the role's holder allows the receiver, by rule."""
 
     epoch: int
     round_number: int
@@ -247,13 +247,13 @@
 
 
 class RedeliveryQuotaUsed(msgspec.Struct, array_like=True):
-    """So many of a quota were used."""
+    """Redeliveries of a quota that the sender has used, by rule."""
 
     round_number: int
     used_counts: dict[str, int]
 
 
-PROPOSAL_KIND: Final = "agree"  # its body is the proposed data itself
+PROPOSAL_KIND: Final = "agree"  # the body is the proposed data
 ENVELOPED_KINDS: Final[dict[type[Any], str]] = {
     RequestVote: "vote-wish",
     RequestVoteReply: "vote",
@@ -297,7 +297,7 @@
 _ENVELOPE_DECODER = msgspec.msgpack.Decoder(Envelope)
 _ENVELOPED_DECODERS = {kind: msgspec.msgpack.Decoder(type_) for type_, kind in ENVELOPED_KINDS.items()}
 _ENCODER = msgspec.msgpack.Encoder()
-_SORTING_ENCODER = msgspec.msgpack.Encoder(order="deterministic")  # a set of voters: the same bytes each time
+_SORTING_ENCODER = msgspec.msgpack.Encoder(order="deterministic")  # sorts sets of voters
 
 
 def encode(message: object) -> tuple[str, bytes]:
--- a/winchspan/cluster/node.py
+++ b/winchspan/cluster/node.py
@@ -1,4 +1,4 @@
-"""What the services of a cluster use of the process that they run in."""
+"""Parts of the process that the services of a cluster use."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
     """This process as a member of the cluster.
 
     Attributes:
-        name: of this courier, unique in the cluster.
-        state_directory: where what must last is kept.
-        seed: of all random decisions.
-        clock: the process's clock.
-        timers: calls back on the event loop.
-        loop: the event loop.
+        name: name of this courier, unique in the cluster.
+        state_directory: directory of persistent state.
+        seed: seed of all random decisions.
+        clock: clock of the process.
+        timers: timers on the event loop.
+        loop: event loop.
         system: disk, sockets and random numbers.
-        incarnation: this process's number, as the other members know it; 0 before it is drawn.
+        incarnation: random number that identifies this process to the other members; 0 before it is drawn.
     """
 
     name: str
@@ -43,22 +43,22 @@
     incarnation: int = 0
 
     def now_ms(self) -> float:
-        """Return the time that leases go by: it does not stand still while the machine sleeps."""
+        """Return the time on the clock of leases, ms; it advances while the machine sleeps."""
         return self.clock.boottime_ms()
 
 
 @dataclass(frozen=True, slots=True)
 class DeliveryResources:
-    """What this courier delivers messages with, as far as the cluster's services act on it.
+    """Components of message delivery that the cluster's services use.
 
     Attributes:
-        settings: those of the start.
+        settings: settings at the start of the process.
         classes: message classes in force; a reconfiguration changes the mapping in place.
-        journal: this courier's write-ahead log.
-        connections: to endpoints.
-        directory: the endpoints.
-        transport: of delivery attempts.
-        notifications: owed to the platform.
+        journal: write-ahead log of this courier.
+        connections: HTTP connections to endpoints.
+        directory: endpoints and destinations.
+        transport: transport of delivery attempts.
+        notifications: notifications that are owed to the platform.
     """
 
     settings: api.Settings
--- a/winchspan/cluster/options.py
+++ b/winchspan/cluster/options.py
@@ -1,4 +1,4 @@
-"""Reads the section `fleet` of the operator's file as far as it concerns this courier."""
+"""Derives this courier's options from the section `fleet` of the operator's file."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from winchspan.config.operator.schema import location_of
 from winchspan.config.platform import Address, ConfigError
 
-# Keys that need consensus: the first of them that is set is named where consensus cannot be had.
+# Keys that need consensus. An error that concerns consensus names the first of them that is set.
 CONSENSUS_KEYS = ("duties", "probe-every", "shared-waits", "shared-resends", "copies")
 
 
 def option_error(values: Mapping[str, Any], key: str, reason: str) -> ConfigError:
-    """Return the error that a key of the section cannot be used here, with the key's place in the file."""
+    """Return the error that a key of the section cannot be used, with the key's location in the file."""
     return ConfigError(f"{location_of(values, key)}: fleet.{key}: {reason}")
 
 
 def consensus_key(values: Mapping[str, Any]) -> str:
-    """Return the first key of the section that needs consensus."""
+    """Return the first key that is set and needs consensus."""
     return next(key for key in CONSENSUS_KEYS if values[key])
 
 
@@ -27,7 +27,7 @@
     """Return the addresses of the members by name.
 
     Raises:
-        ConfigError: unless this courier is one of them, at its own address.
+        ConfigError: unless this courier is one of the members, at its own address.
     """
     members = dict(map(parse_member, values["members"]))
     if name not in members:
@@ -41,7 +41,7 @@
 
 
 def leased_roles(values: Mapping[str, Any]) -> tuple[str, ...]:
-    """Return all roles that are to have a holder: the operator's, and those of the courier's own tasks."""
+    """Return the leased roles: those of the operator's file and those of the couriers' shared tasks."""
     return (*values["duties"], *_cluster_task_roles(values))
 
 
--- a/winchspan/cluster/peer_connection.py
+++ b/winchspan/cluster/peer_connection.py
@@ -1,12 +1,12 @@
 """One TCP connection between two nodes: framing, handshake and signatures.
 
-Handshake: each side's first frame is a `hello` with its name, the name of the node that it means and a
-nonce. The node that dialled speaks first; the other one answers with its own hello, which is the challenge;
-the dialler then sends `ready`, signed with the nonce of that challenge. Only then does the connection count.
+Handshake: each side's first frame is a `hello` with its name, the name of the node that it addresses, and a
+nonce. The dialler sends its hello first. The other node answers with its own hello, whose nonce is the
+challenge. The dialler then sends `ready`, signed with that nonce, which completes the handshake.
 
 Each signature covers the reader's nonce and the number of frames sent before, so that no frame can be
-replayed, on this connection or another one. The dialler's hello is signed before the other nonce is known: it
-proves nothing yet. Frames: `winchspan.cluster.frames`.
+replayed, on this connection or another one. The dialler's hello is signed before the reader's nonce is known,
+so it does not prove the dialler's identity. Frames: `winchspan.cluster.frames`.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from winchspan.net.receive_buffer import ReceiveBuffer
 
 MAX_FRAME_BYTES: Final = 256 * 1024
-MAX_UNSENT_BYTES: Final = 512 * 1024  # that a peer may leave unread before its connection is closed
+MAX_UNSENT_BYTES: Final = 512 * 1024  # send buffer limit, beyond which the connection is closed
 CLOSED_SLOW_READER: Final = "does not read"  # a label of the metric `fleet.dropped.CAUSE`
 _LENGTH: Final = Struct("<I")
 _EMPTY_BODY: Final = b"\x80"  # an empty map of MessagePack
@@ -37,13 +37,13 @@
 
 
 class UnexpectedPeerError(FrameError):
-    """The peer is not the node that was dialled, or not one that may dial this node."""
+    """The peer is not the node that was dialled, or is not permitted to dial this node."""
 
     cause = "not who was expected"
 
 
 class MissingHelloError(FrameError):
-    """The first frame of a peer is no hello."""
+    """The first frame of a peer is not a hello."""
 
     cause = "no hello"
 
@@ -55,10 +55,10 @@
 
 
 class HandshakeState(Enum):
-    """What a connection waits for."""
+    """Progress of the handshake of a connection."""
 
     AWAITING_HELLO = auto()
-    AWAITING_READY = auto()  # the peer dialled, and this side has sent its challenge
+    AWAITING_READY = auto()  # only where the peer dialled: this side has sent its challenge
     ESTABLISHED = auto()
 
 
@@ -66,8 +66,8 @@
     """Payload of a frame.
 
     Attributes:
-        kind: message kind, by which its reader is chosen.
-        body: the message as one value of MessagePack.
+        kind: message kind, which selects the decoder of the body.
+        body: the message as one MessagePack value.
     """
 
     kind: str
@@ -78,9 +78,9 @@
     """First message of each side.
 
     Attributes:
-        sender: name of the node that speaks.
-        recipient: name of the node that it means to speak to.
-        nonce: random number that the peer's signatures on this connection must cover.
+        sender: name of the sending node.
+        recipient: name of the node that the sender addresses.
+        nonce: random bytes that the peer's signatures on this connection must cover.
     """
 
     sender: str
@@ -94,7 +94,7 @@
 
 
 class PeerConnectionOwner(Protocol):
-    """What a connection needs of the transport that it belongs to."""
+    """Interface of the transport that a connection belongs to."""
 
     @property
     def node_name(self) -> str:
@@ -131,10 +131,10 @@
     """
 
     def __init__(self, owner: PeerConnectionOwner, dialled_name: str = "") -> None:
-        """Create the protocol of a connection that is being made.
+        """Create the protocol of a connection that is being established.
 
         Args:
-            owner: the transport that it belongs to.
+            owner: transport that the connection belongs to.
             dialled_name: name of the node that was dialled; empty if the peer dialled.
         """
         self.peer_name = ""
@@ -158,11 +158,11 @@
             self._send_hello(self._dialled_name)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return the space for the next bytes."""
+        """Return the writable part of the receive buffer."""
         return self._buffer.writable()
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Process the frames that are complete."""
+        """Process the complete frames of the buffer."""
         self._buffer.end += nbytes
         try:
             while not self.is_closed:
@@ -181,11 +181,11 @@
     # ---- output ------------------------------------------------------------------------------------------
     @property
     def is_closed(self) -> bool:
-        """Whether the connection is closed, closing or not made yet."""
+        """Whether the connection is closed, closing or not yet established."""
         return self._transport is None or self._transport.is_closing()
 
     def send(self, kind: str, body: bytes) -> bool:
-        """Send a message, one value of MessagePack; returns False if the connection cannot take it."""
+        """Send a message, one MessagePack value; return False if the connection cannot take it."""
         if self._state is not HandshakeState.ESTABLISHED or self.is_closed:
             return False
         assert self._transport is not None
@@ -196,7 +196,7 @@
         return True
 
     def close(self) -> None:
-        """Close the connection without sending what waits."""
+        """Close the connection, and discard its send buffer."""
         if self._transport is not None:
             self._transport.abort()
 
--- a/winchspan/cluster/poll_guard.py
+++ b/winchspan/cluster/poll_guard.py
@@ -1,4 +1,4 @@
-"""Callbacks that run right after the event loop has polled, before it reads or writes anything."""
+"""Callbacks that run right after each poll of the event loop, before any socket is read or written."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class PollGuard:
-    """Runs callbacks after a poll while some call is partially written.
+    """Runs callbacks after each poll while an HTTP call is partially written.
 
-    Guards against a process that was stopped in the middle of a call: on waking, its event loop would write
-    the rest before any of its timers is looked at.
+    When a process that was stopped during a call resumes, its event loop would otherwise write the rest of
+    the call before it runs any timer.
     """
 
     def __init__(self, system: System, connections: HttpConnectionPool) -> None:
@@ -21,12 +21,12 @@
         self._callbacks: list[Callable[[], None]] = []
 
     def add(self, callback: Callable[[], None]) -> None:
-        """Run a callback after each poll that finds a partially written call."""
+        """Add a callback to run after each poll while a call is partially written."""
         self._callbacks.append(callback)
         self._system.poll_monitor.after_poll = self._after_poll
 
     def close(self) -> None:
-        """Run nothing any more."""
+        """Stop running callbacks."""
         self._system.poll_monitor.after_poll = None
 
     def _after_poll(self) -> None:
--- a/winchspan/cluster/raft_timer.py
+++ b/winchspan/cluster/raft_timer.py
@@ -1,4 +1,4 @@
-"""The one timer that drives the Raft state machine."""
+"""Timer of the Raft state machine."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         self._is_stopped = False
 
     def arm(self) -> None:
-        """Set the timer, if the state machine's next timeout is earlier than the timer's."""
+        """Set the timer to the state machine's next timeout, if that is earlier than the time already set."""
         if self._is_stopped or self._raft.next_tick_at >= self._due_ms:
             return
         if self._timer is not None:
@@ -31,7 +31,7 @@
         self._timer = self._node.timers.call_later(delay_ms, self._on_timer)
 
     def stop(self) -> None:
-        """Call back no more."""
+        """Stop calling back."""
         self._is_stopped = True
 
     def _on_timer(self) -> None:
--- a/winchspan/cluster/redelivery_service.py
+++ b/winchspan/cluster/redelivery_service.py
@@ -1,4 +1,4 @@
-"""Redelivery of dead letters as a cluster: the role holder's rounds, and this courier's quota."""
+"""Redelivery of dead letters at a rate that the cluster shares: rounds of the role holder, and quotas."""
 
 from __future__ import annotations
 
@@ -14,35 +14,39 @@
 from winchspan.dead_letters.policy import RedeliveryRateLimiter, RedeliveryRule
 from winchspan.leases.fencing import EpochFence
 
-POLL_INTERVAL_MS: Final = 250.0  # between two checks whose round it is
+POLL_INTERVAL_MS: Final = 250.0  # between two checks whether a quota is to be granted
 
 
-class ClusterRedeliveryRate(RedeliveryRateLimiter):
-    """Keeps redelivery to what the role's holder allows, in place of the rules' own rates."""
+class ClusterRedeliveryRateLimiter(RedeliveryRateLimiter):
+    """Limits redelivery to the quota of the role's holder, in place of the rules' own rates."""
 
     def __init__(self, service: RedeliveryService) -> None:
         super().__init__()
         self._service = service
 
     def may_send(self, now_ms: float, rule: RedeliveryRule) -> bool:
-        """Return whether the rule has any left of this courier's quota."""
+        """Return whether this courier's quota for the rule is not used up."""
         return self._service.allowance.has_remaining(self._service.now(), rule.name)
 
     def record_sent(self, now_ms: float, rule: RedeliveryRule) -> None:
-        """Count a message that the rule has marked for redelivery."""
+        """Count a message that the rule has selected for redelivery."""
         self._service.allowance.consume(rule.name)
 
     def is_selection_valid(self) -> bool:
-        """Return whether what was marked may still be sent, to be asked right before it is."""
+        """Return whether selected messages may still be sent; asked right before they are."""
         return self._service.allowance.is_valid(self._service.now())
 
     def complete_round(self) -> None:
-        """Return the rest of the quota: what a round has marked is with the engine."""
+        """Return the unused quota, since the engine has all messages that the round has selected."""
         self._service.return_unused_quota()
 
 
 class RedeliveryService:
-    """This courier's part in redelivery."""
+    """This courier's participation in redelivery.
+
+    Attributes:
+        allowance: quota of this courier in the current round.
+    """
 
     def __init__(
         self, node: ClusterNode, consensus: ConsensusService, rules: Sequence[RedeliveryRule]
@@ -54,7 +58,7 @@
         self._rates = {rule.name: rule.rate for rule in rules}
         self._rounds: RedeliveryRounds | None = None  # while this courier holds the role
         self._epoch = 0
-        self._grantor = ""  # who has granted the quota at hand
+        self._grantor = ""  # member that granted the current quota
         self._fence = EpochFence()
         self.allowance = RedeliveryAllowance()
         self._is_closed = False
@@ -63,11 +67,11 @@
         self._leases.on_lost(self._on_role_lost)
 
     def now(self) -> float:
-        """Return the time that leases go by, in ms."""
+        """Return the time on the clock of leases, ms."""
         return self._node.now_ms()
 
     def start(self) -> None:
-        """Check again and again whether this courier is to grant the next quota."""
+        """Check periodically whether this courier is to grant the next quota."""
         if self._is_closed:
             return
         self._node.timers.call_later(POLL_INTERVAL_MS, self.start)
@@ -87,15 +91,15 @@
             self._bus.send(grant.recipient, message)
 
     def close(self) -> None:
-        """Grant nothing any more."""
+        """Stop granting quotas."""
         self._is_closed = True
 
     def metrics(self) -> dict[str, int]:
-        """Return how many quotas of a superseded role holder were rejected."""
+        """Return the number of rejected quotas of superseded role holders."""
         return {"fleet.resends.fenced": self._fence.rejected_count}
 
     def status(self) -> dict[str, Any]:
-        """Return nothing that the metrics do not tell."""
+        """Return no entries: the metrics cover this service."""
         return {}
 
     def _on_role_lost(self, role: str) -> None:
@@ -115,7 +119,7 @@
         self.allowance.renew(self.now(), message.epoch, message.round_number, message.quotas)
 
     def return_unused_quota(self) -> None:
-        """Leave the rest of the quota to the next courier."""
+        """Return the unused quota to its grantor, for the next courier."""
         if not self._grantor or not self.allowance.is_valid(self.now()):
             return
         self.allowance.release()
--- a/winchspan/cluster/replica_holder.py
+++ b/winchspan/cluster/replica_holder.py
@@ -1,4 +1,4 @@
-"""The replicas of other couriers' journals that this courier holds."""
+"""Replicas of other couriers' journals on this courier's disk."""
 
 from __future__ import annotations
 
@@ -13,7 +13,12 @@
 
 
 class ReplicaHolder:
-    """Writes what other couriers send of their journals, and answers once it is on disk."""
+    """Writes journal records of other couriers to replicas, and acknowledges them once they are on disk.
+
+    Attributes:
+        store: replicas on disk.
+        replicas: state of each replica.
+    """
 
     def __init__(self, bus: MessageBus, store: ReplicaStore) -> None:
         self._bus = bus
@@ -22,7 +27,7 @@
 
     @property
     def replica_count(self) -> int:
-        """How many journals there are records of."""
+        """Number of replicas that have records."""
         return sum(replica.epoch > 0 for replica in self.replicas.replicas.values())
 
     def status(self) -> dict[str, dict[str, int]]:
@@ -33,14 +38,14 @@
         }
 
     def progress(self, owner: str, holder: str) -> ReplicaProgress:
-        """Return how far the replica of an owner goes; epoch 0: there is none."""
+        """Return epoch and last index of the replica of an owner; epoch 0 if there is none."""
         replica = self.replicas.replicas.get(owner)
         if replica is None:
             return ReplicaProgress(0, 0, holder)
         return ReplicaProgress(replica.epoch, replica.last_index, holder)
 
     def receive(self, sender: str, message: ReplicateRecords | SnapshotChunk) -> None:
-        """Take records of a sender's own journal; nothing is answered if the disk does not take them."""
+        """Persist records of a sender's own journal; send no reply if they cannot be persisted."""
         if isinstance(message, ReplicateRecords):
             actions = self.replicas.handle_records(message)
         else:
@@ -54,15 +59,15 @@
             try:
                 is_written = self.store.persist(action)
             except InvalidRecordsError as err:
-                logger.warning("replication: {} has sent {}", sender, err)
+                logger.warning("replication: {} sent invalid records: {}", sender, err)
                 is_written = False
             if not is_written:
                 if not isinstance(action, PersistEpoch):
                     self.replicas.reset_progress(message.owner, epoch, last_record)
-                return  # nothing is answered: the owner chooses another replica node
+                return  # without a reply the owner chooses another replica node
 
     def promise(self, owner: str, epoch: int) -> bool:
-        """Take no older epoch of a journal from now on; return False while that is not on disk."""
+        """Promise to accept no older epoch of a journal; return False if the promise is not on disk."""
         actions, _ = self.replicas.promise_epoch(owner, epoch)
         are_written = all(
             self.store.persist(action) for action in actions if isinstance(action, PersistEpoch)
@@ -70,7 +75,7 @@
         return are_written and self.replicas.replicas[owner].promised_epoch == epoch
 
     def remove_superseded(self, takeover_epochs: Mapping[str, int]) -> None:
-        """Forget all replicas of journals that were taken over under a later epoch."""
+        """Remove all replicas of journals that were taken over under a later epoch."""
         for owner, replica in list(self.replicas.replicas.items()):
             if 0 < replica.epoch < takeover_epochs.get(owner, 0):
                 self.replicas.replicas.pop(owner)
--- a/winchspan/cluster/replica_placer.py
+++ b/winchspan/cluster/replica_placer.py
@@ -1,4 +1,4 @@
-"""Sees to it that as many members as configured hold a replica of this courier's journal."""
+"""Assigns the replicas of this courier's journal to as many members as configured."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from winchspan.replication.placement import choose_replicas
 from winchspan.replication.stream import ReplicationStream
 
-PROPOSAL_RETRY_INTERVAL_MS: Final = 200.0  # after which a proposal that was not committed is made again
+PROPOSAL_RETRY_INTERVAL_MS: Final = 200.0  # after which an uncommitted proposal is repeated
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicationOptions:
-    """What the operator's file says of replication.
+    """Options of replication from the operator's file.
 
     Attributes:
-        replica_count: replicas beside the owner's journal.
-        is_strict: whether no message is admitted while there are fewer.
-        capacity_bytes: disk space that others' replicas may take.
+        replica_count: number of replicas besides the owner's journal.
+        is_strict: whether no message is admitted while there are fewer replicas.
+        capacity_bytes: disk space for the replicas of other couriers' journals.
     """
 
     replica_count: int
@@ -42,13 +42,13 @@
         options: ReplicationOptions,
         is_owner: Callable[[], bool],
     ) -> None:
-        """Create it.
+        """Create a placer without proposals.
 
         Args:
             node: this process.
-            consensus: agrees on placements.
-            options: how many replicas there are to be.
-            is_owner: whether this courier may act on its own journal now.
+            consensus: commits placements, and provides live members and their locations.
+            options: number of replicas.
+            is_owner: returns whether this courier holds the lease on its own journal.
         """
         self._node = node
         self._consensus = consensus
@@ -58,22 +58,22 @@
 
     @property
     def replicas(self) -> tuple[str, ...]:
-        """The members that hold a replica, as it is agreed."""
+        """Members that hold a replica, by the committed placement."""
         placement = self._consensus.leases.table.placements.get(self._node.name)
         return tuple(placement.replicas) if placement is not None else ()
 
     @property
     def joining(self) -> tuple[str, ...]:
-        """The members that are to hold all replicas once they have caught up."""
+        """Members that replace the current set of replicas once all of them have caught up."""
         placement = self._consensus.leases.table.placements.get(self._node.name)
         return tuple(placement.joining) if placement is not None else ()
 
     def has_enough_replicas(self) -> bool:
-        """Return whether there are as many replicas as there must be."""
+        """Return whether there are as many replicas as the options require."""
         return not self._options.is_strict or len(self.replicas) >= self._options.replica_count
 
     def update(self, now: float, stream: ReplicationStream) -> None:
-        """Stream to the agreed replicas, and propose others where they are gone or fall behind."""
+        """Stream to the committed replicas, and propose to replace those that have failed or are too slow."""
         replicas, joining = self.replicas, self.joining
         stream.set_replicas(now, replicas, joining)
         live = {name for name in self._consensus.live_nodes() if name != self._node.name}
--- a/winchspan/cluster/replication_counters.py
+++ b/winchspan/cluster/replication_counters.py
@@ -1,4 +1,4 @@
-"""Counts of what replication has done since the process started."""
+"""Counters of replication since the start of the process."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 @dataclass(slots=True)
 class ReplicationCounters:
-    """Counts since the start of the process.
+    """Counters since the start of the process.
 
     Attributes:
-        completed_takeovers: journals of other couriers that this one has taken over.
-        messages_taken_over: their open messages.
-        possibly_executed: those of them that may have been executed.
-        own_messages_taken_over: messages of this courier that another has taken over.
-        last_takeover_ms: how long the last takeover took.
-        rejected: messages that were not admitted, as they could not have been replicated.
-        abandoned_attempts: attempts in flight that were given up.
-        late_deliveries: open messages that another courier proved to have delivered.
+        completed_takeovers: journals of other couriers that this courier has taken over.
+        messages_taken_over: open messages of these journals.
+        possibly_executed: messages taken over that may have been executed before.
+        own_messages_taken_over: messages of this courier that another courier has taken over.
+        last_takeover_ms: duration of the last takeover.
+        rejected: messages rejected because they could not be replicated.
+        abandoned_attempts: attempts in flight that were cancelled without a result.
+        late_deliveries: open messages completed because another courier reported their delivery.
         handed_over: messages handed over at SIGTERM.
     """
 
@@ -32,7 +32,7 @@
     handed_over: int = 0
 
     def metrics(self) -> dict[str, int]:
-        """Return the counts by metric name."""
+        """Return the counters by metric name."""
         return {
             "fleet.copies.taken_over": self.completed_takeovers,
             "fleet.copies.messages_taken_over": self.messages_taken_over,
--- a/winchspan/cluster/replication_service.py
+++ b/winchspan/cluster/replication_service.py
@@ -1,7 +1,7 @@
-"""Replication as it runs in a courier: its own journal, and the services for those of others.
+"""Replication of this courier's journal, and the services for the journals of other couriers.
 
-A courier owns its journal while it holds the lease on the journal's role; until then, and whenever that is
-over, it admits nothing and starts nothing. What must be replicated first waits in `secure`.
+A courier acts on its journal only while it holds the lease on the journal's role. Without the lease it admits
+no message and starts no attempt. Actions that require replicated records wait in `when_replicated`.
 """
 
 from __future__ import annotations
@@ -30,14 +30,15 @@
 from winchspan.replication.replica_store import ReplicaStore
 from winchspan.storage.journal_records import JournalEntry
 
-POLL_INTERVAL_MS: Final = 50.0  # between two checks of leases, replicas and what was not answered
-ABANDON_AFTER_MS: Final = 2_000.0  # without the lease, attempts are given up: a takeover waits for 2,500 ms
-RETRY_AFTER_MS: Final = 500.0  # after which a client that was rejected may come again
+POLL_INTERVAL_MS: Final = 50.0  # between two checks of leases, replicas and unanswered requests
+# Time without the lease after which attempts in flight are cancelled; a takeover starts only after 2,500 ms.
+ABANDON_AFTER_MS: Final = 2_000.0
+RETRY_AFTER_MS: Final = 500.0  # delay that a rejected client is told to wait
 REPLICA_DIRECTORY: Final = "copies"
 
 
 class ReplicationService:
-    """Replicates this courier's journal; the engine's replication port."""
+    """Replicates this courier's journal, as the engine's replication port."""
 
     def __init__(
         self,
@@ -46,13 +47,13 @@
         consensus: ConsensusService,
         options: ReplicationOptions,
     ) -> None:
-        """Open the replicas that are held here.
+        """Open the replicas of other couriers' journals on this disk.
 
         Args:
             node: this process.
-            delivery: its journal, endpoints and connections.
-            consensus: knows whose journal is whose.
-            options: how many replicas, and what they may take.
+            delivery: journal, endpoints and connections of this courier.
+            consensus: provides the leases on journals.
+            options: number of replicas, and disk space for those of others.
 
         Raises:
             OSError: if the replicas cannot be opened.
@@ -73,7 +74,7 @@
         self._takeovers = self._create_takeover_service()
         ports = HandOverPorts(self._stream, delivery.notifications, self._planning, self._counters)
         self._hand_over = JournalHandOver(node, consensus, ports)
-        self._last_owned_ms = 0.0  # when the journal was last this courier's
+        self._last_owned_ms = 0.0  # when this courier last held the lease on its journal; 0: never
         self._is_recovered = False
         self._is_closed = False
         self._bus.subscribe(ReplicateRecords, self._on_records)
@@ -91,20 +92,20 @@
             self._claims,
             self._late_deliveries,
             self._counters,
-            self._stream.secure,
+            self._stream.when_replicated,
             self._stream.is_owner,
         )
         return TakeoverService(self._node, self._delivery, self._consensus, ports)
 
     def attach_engine(self, engine: DeliveryEngine) -> None:
-        """Take the engine whose messages are replicated."""
+        """Set the engine whose messages are replicated."""
         self._engine = engine
         self._late_deliveries.attach_engine(engine)
         self._takeovers.attach_engine(engine)
         self._hand_over.attach_engine(engine)
 
     def start(self) -> None:
-        """Start; nothing is recovered or started before the journal is this courier's."""
+        """Start the service; the engine stays suspended until this courier owns its journal."""
         self._delivery.journal.on_records_written = self._stream.on_written
         self._delivery.journal.on_message_completed = self._on_entry_completed
         self._bus.on_connected(self._on_connected)
@@ -118,7 +119,7 @@
         self._on_timer()
 
     def close(self) -> None:
-        """Replicate no more, and close all files."""
+        """Stop replication, and close all files."""
         self._is_closed = True
         self._stream.close()
         self._hand_over.close()
@@ -127,16 +128,16 @@
         self._holder.store.close()
 
     def start_hand_over(self) -> None:
-        """Admit nothing more, let attempts in flight complete, and hand the journal over."""
+        """Stop admission, wait for attempts in flight, and hand the journal over."""
         self._hand_over.start()
 
     @property
     def is_handing_over(self) -> bool:
-        """Whether the journal is still to be handed over."""
+        """Whether the hand-over of the journal is in progress."""
         return self._hand_over.is_started and not self._hand_over.is_complete
 
     def metrics(self) -> dict[str, int]:
-        """Return how far the replicas go, what is held of others, and what was taken over."""
+        """Return gauges and counters of replication, claims, replicas and takeovers."""
         return {
             "fleet.copies.unsecured": self._stream.unreplicated_count,
             "fleet.copies.lag_ms": int(self._stream.lag_ms()),
@@ -148,7 +149,7 @@
         }
 
     def status(self) -> dict[str, Any]:
-        """Return who holds replicas of this journal, and whose replicas are held here."""
+        """Return the holders of this journal's replicas, and the replicas that this courier holds."""
         return {
             "copies": {
                 "holders": list(self._stream.placer.replicas),
@@ -158,47 +159,49 @@
         }
 
     # ---- the engine's replication port -------------------------------------------------------------------
-    def refused(self) -> float:
-        """Return after how many ms a message may be admitted; 0: now."""
+    def admission_delay_ms(self) -> float:
+        """Return the delay in ms after which a message may be retried; 0 if it may be admitted now."""
         if self._hand_over.is_started or not self._stream.may_admit():
             self._counters.rejected += 1
             return RETRY_AFTER_MS
         return 0.0
 
-    def secure(self, then: Callable[[], None], lost: Callable[[], None]) -> None:
-        """Call `then` once all that is written by now is replicated; `lost` if the journal is another's."""
-        self._stream.secure(then, lost)
+    def when_replicated(self, on_replicated: Callable[[], None], on_taken_over: Callable[[], None]) -> None:
+        """Call back once all records written so far are replicated, or the journal is taken over."""
+        self._stream.when_replicated(on_replicated, on_taken_over)
 
-    def enter(  # the engine's port
+    def wait_for_predecessors(  # the engine's port
         self,
         number: int,
-        cls: str,
+        class_name: str,
         key: int | None,
-        token: str,
+        idempotency_key: str,
         origin: str | None,
-        free: ReleaseCallback,
+        on_ready: ReleaseCallback,
     ) -> None:
-        """Call `free` once no message of another journal with the same key or token goes first."""
-        self._claims.release_when_unclaimed(number, lock_keys_of(cls, key, token), origin, free)
+        """Call `on_ready` once no message of another journal with the same key or token must go first."""
+        self._claims.release_when_unclaimed(
+            number, lock_keys_of(class_name, key, idempotency_key), origin, on_ready
+        )
 
-    def forget(self, number: int) -> None:
-        """Forget a waiting message that is complete."""
+    def cancel_wait(self, number: int) -> None:
+        """Remove a waiting message, since it is complete."""
         self._claims.cancel(number)
 
-    def delivered(self, message: str) -> None:
-        """Tell whoever continues this journal of a delivery that came after all."""
+    def report_delivered(self, message_id: str) -> None:
+        """Report a delivery to the successor, if this courier's journal has been taken over."""
         if not self._stream.is_open:
-            self._late_deliveries.add(0, message)
+            self._late_deliveries.add(0, message_id)
             self._late_deliveries.announce()
 
     # ---- ownership ---------------------------------------------------------------------------------------
     def _recall_without_lease(self) -> None:
-        """Recall partially written calls under a lease that is over."""
+        """Recall partially written calls if the lease on the journal has expired."""
         if not self._stream.is_owner():
             self._delivery.connections.recall_partially_written()
 
     def _acquire(self, now: float, epoch: int) -> None:
-        """Own the journal under a new epoch; what it held before is still open, or another's."""
+        """Own the journal under a new epoch, without the entries that other couriers own now."""
         journal, table = self._delivery.journal, self._leases.table
         if (
             not self._is_recovered
@@ -224,12 +227,12 @@
         journal.record_completed(numbers)
         self._counters.own_messages_taken_over += len(numbers)
         logger.warning(
-            "takeover: this courier's messages were taken over during its absence: {} are another's",
+            "takeover: another courier took this courier's {} messages over during its absence",
             len(numbers),
         )
 
     def _release_journal(self) -> None:
-        """Start nothing any more of a journal that another courier has taken over."""
+        """Stop acting on the journal, which another courier has taken over."""
         logger.warning("takeover: this courier's messages were taken over: it holds none from now on")
         self._late_deliveries.discard_replicated(self._stream.replicated_number)
         self._counters.own_messages_taken_over += self._engine.held_count
@@ -237,9 +240,10 @@
         self._claims.clear()
         self._engine.release_all()
         self._delivery.notifications.clear()
-        self._late_deliveries.announce()  # whoever continues it may be connected already
+        # The successor may be connected already, so that no connection event follows.
+        self._late_deliveries.announce()
 
-    # ---- what is due -------------------------------------------------------------------------------------
+    # ---- periodic work -----------------------------------------------------------------------------------
     def _run_soon(self) -> None:
         if not self._is_closed:
             self._node.loop.call_soon(self._run_due)
@@ -276,14 +280,14 @@
             and now > self._last_owned_ms + ABANDON_AFTER_MS
             and self._engine.in_flight_count
         ):
-            # Guards against two attempts at once: a takeover may start its own soon after.
+            # A successor may soon start its own attempts: two attempts at the same time must not happen.
             self._counters.abandoned_attempts += self._engine.cancel_in_flight()
         self._engine.set_suspended(is_suspended)
         self._delivery.notifications.suspend(is_suspended)
 
     # ---- events ------------------------------------------------------------------------------------------
     def _on_entry_completed(self, entry: JournalEntry) -> None:
-        is_delivered = entry.owed_notification is None and entry.in_flight_since_ms is not None
+        is_delivered = entry.pending_notification is None and entry.in_flight_since_ms is not None
         if self._stream.is_open and is_delivered and not self._takeovers.is_discarding:
             self._late_deliveries.add(self._stream.next_number, entry.id)
         self._claims.on_entry_completed(entry)
