--- a/winchspan/cluster/services.py
+++ b/winchspan/cluster/services.py
@@ -1,4 +1,4 @@
-"""The services that rest on consensus: what they have in common, and how they are created."""
+"""Common interface of the services that depend on consensus, and their creation."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 if TYPE_CHECKING:
     from winchspan.cluster.health_check_service import HealthCheckService
-    from winchspan.cluster.redelivery_service import ClusterRedeliveryRate
+    from winchspan.cluster.redelivery_service import ClusterRedeliveryRateLimiter
     from winchspan.cluster.replication_service import ReplicationService
 
 
 class ClusterService(Protocol):
-    """A service that rests on consensus."""
+    """A service that depends on consensus."""
 
     def start(self) -> None:
-        """Start."""
+        """Start the service."""
 
     def metrics(self) -> dict[str, int]:
         """Return gauges and counters by metric name."""
@@ -32,30 +32,30 @@
         """Return entries of the status document."""
 
     def close(self) -> None:
-        """Stop, and close files."""
+        """Stop the service, and close its files."""
 
 
 @dataclass(slots=True)
 class ClusterServices:
-    """Consensus and the services that are switched on.
+    """Consensus and the enabled services.
 
     Attributes:
-        consensus: the consensus service.
-        all: the services that rest on it, in the order in which they are started.
-        health_checks: also shares backoff; None if both are off.
-        replication: None if it is off.
-        redelivery_rate: of dead letters, in place of the rules' own; None if it is off.
+        consensus: consensus service.
+        all: services that depend on consensus, in the order of their start.
+        health_checks: health checks and shared backoff; None if both are disabled.
+        replication: replication service; None if it is disabled.
+        redelivery_rate: shared rate of redeliveries, in place of the rules' own; None if it is disabled.
     """
 
     consensus: ConsensusService
     all: list[ClusterService] = field(default_factory=list)
     health_checks: HealthCheckService | None = None
     replication: ReplicationService | None = None
-    redelivery_rate: ClusterRedeliveryRate | None = None
+    redelivery_rate: ClusterRedeliveryRateLimiter | None = None
 
 
 class ClusterServiceFactory:
-    """Creates the services that the operator's file switches on."""
+    """Creates the services that the operator's file enables."""
 
     def __init__(
         self,
@@ -71,10 +71,10 @@
     def create(
         self, config: PlatformConfig, members: Mapping[str, Address], secret: bytes, ports: ConsensusPorts
     ) -> ClusterServices:
-        """Create consensus and the services that rest on it.
+        """Create consensus and the services that depend on it.
 
         Raises:
-            ConfigError: if they cannot be had here.
+            ConfigError: if an option cannot be used with this configuration.
         """
         services = ClusterServices(self._create_consensus(config, members, secret, ports))
         if self._values["probe-every"] or self._values["shared-waits"]:
@@ -129,10 +129,10 @@
         services.all.append(service)
 
     def _add_redelivery(self, services: ClusterServices) -> None:
-        from winchspan.cluster.redelivery_service import ClusterRedeliveryRate, RedeliveryService
+        from winchspan.cluster.redelivery_service import ClusterRedeliveryRateLimiter, RedeliveryService
         from winchspan.dead_letters.setup import redelivery_rules
 
         rules = redelivery_rules(self._operator.get("resend", {}))
         service = RedeliveryService(self._node, services.consensus, rules)
-        services.redelivery_rate = ClusterRedeliveryRate(service)
+        services.redelivery_rate = ClusterRedeliveryRateLimiter(service)
         services.all.append(service)
--- a/winchspan/cluster/stream_transport.py
+++ b/winchspan/cluster/stream_transport.py
@@ -1,7 +1,7 @@
 """TCP transport between nodes for messages that are large or must keep their order.
 
-There is one connection for each pair of nodes; the node with the lesser name dials. Messages that a
-connection had not delivered when it broke are lost, as a datagram is. Handshake: `peer_connection`.
+There is one connection for each pair of nodes; the node whose name sorts first dials. Messages that are not
+delivered when a connection breaks are lost, as datagrams are. Handshake: `peer_connection`.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 
 HANDSHAKE_TIMEOUT_MS: Final = 1_000.0  # also the timeout of a connection attempt
 DIAL_INTERVAL_MS: Final = 250.0  # between two rounds of dialling
-MAX_PENDING_CONNECTIONS: Final = 16  # whose handshake is not complete
-# Causes for which a connection is closed; they are labels of the metric `fleet.dropped.CAUSE`.
+MAX_PENDING_CONNECTIONS: Final = 16  # limit of connections with an incomplete handshake
+# Causes of closed connections, which are labels of the metric `fleet.dropped.CAUSE`.
 CLOSED_TOO_MANY_PENDING: Final = "too many strangers"
 CLOSED_HANDSHAKE_TIMEOUT: Final = "no hello in time"
 
@@ -34,7 +34,7 @@
     Attributes:
         node_name: name of the local node.
         members: addresses by node name, the local one among them.
-        secret: signs each frame; empty for unsigned frames.
+        secret: key that signs each frame; empty for unsigned frames.
     """
 
     node_name: str
@@ -98,7 +98,7 @@
         """Start to accept connections and to dial."""
         self._loop = loop
         self._listener = listener
-        # An emulated listener has no file descriptor; the emulated loop knows it by itself.
+        # An emulated listener has no file descriptor; the emulated loop accepts the listener object itself.
         loop.add_reader(listener, self._accept)  # type: ignore[arg-type]
         self._dial_missing_peers()
 
@@ -107,8 +107,8 @@
 
         Args:
             recipient: name of the node.
-            kind: message kind, by which its reader is chosen.
-            body: the message as one value of MessagePack.
+            kind: message kind, which selects the decoder of the body.
+            body: the message as one MessagePack value.
 
         Returns:
             False if there is no connection that can take it.
@@ -133,7 +133,7 @@
 
     # ---- PeerConnectionOwner -----------------------------------------------------------------------------
     def accepts_peer(self, name: str, dialled_name: str) -> bool:
-        """Whether a peer may have this name: the one dialled, or a member that is to dial this node."""
+        """Return whether a peer may have this name: the dialled node, or a member that dials this node."""
         if dialled_name:
             return name == dialled_name
         return name in self.members and name < self.node_name
@@ -152,7 +152,7 @@
         self._handlers.on_message(sender, kind, body)
 
     def handle_closed(self, peer: PeerConnection) -> None:
-        """Forget a connection that is over."""
+        """Remove a closed connection."""
         self._pending.discard(peer)
         if self._established.get(peer.peer_name) is peer:
             del self._established[peer.peer_name]
@@ -168,7 +168,7 @@
 
     # ---- dialling and accepting --------------------------------------------------------------------------
     def _dial_missing_peers(self) -> None:
-        """Dial all nodes with greater names that are not connected; repeats itself until closed."""
+        """Dial all unconnected nodes whose names sort after this node's; repeat until closed."""
         if self._loop is None:
             return
         for name in self.members:
@@ -219,7 +219,7 @@
             self._pending.discard(peer)
 
     def _await_handshake(self, peer: PeerConnection) -> None:
-        """Close a connection unless its handshake is complete in time."""
+        """Close a connection whose handshake is not complete before the timeout."""
         if peer.peer_name:
             return
         self._pending.add(peer)
--- a/winchspan/cluster/takeover_planning.py
+++ b/winchspan/cluster/takeover_planning.py
@@ -1,4 +1,4 @@
-"""The leader's choice of who continues the journal of a courier that is gone."""
+"""The leader's choice of the successor that takes over the journal of a failed courier."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class TakeoverPlanning:
-    """Asks all members how far their replicas go, and prefers the one with the most complete replica."""
+    """Queries the progress of all replicas, and prefers the member with the most complete replica."""
 
     def __init__(self, node: ClusterNode, consensus: ConsensusService, holder: ReplicaHolder) -> None:
         self._node = node
@@ -29,7 +29,7 @@
         self._bus.subscribe(NodeLeaving, self._on_leaving)
 
     def request_progress(self, now: float) -> None:
-        """As the leader, ask how far the replicas of missing couriers' journals go."""
+        """As the leader, query the progress of the replicas of missing couriers' journals."""
         if not self._consensus.is_leading:
             return
         for owner in self._planner.owners_to_query(now):
@@ -37,13 +37,13 @@
             self._on_progress_reported(self._node.name, self._own_progress(owner))
 
     def announce_leaving(self) -> None:
-        """Tell all members that this process hands its journal over."""
+        """Announce to all members that this process hands its journal over."""
         message = NodeLeaving(self._node.incarnation)
         self._bus.broadcast(message)
         self._on_leaving(self._node.name, message)
 
     def preferred_holder(self, role: str, live: Mapping[str, int], table: LeaseTable) -> str:
-        """As the leader, return who is to hold a role; an empty string: it is left as it is."""
+        """As the leader, return the member that is to hold a role; empty to leave the role as it is."""
         if not role.startswith(JOURNAL_ROLE_PREFIX):
             return preferred_holder(role, live)
         journals = self._consensus.announcements.journals
--- a/winchspan/cluster/takeover_service.py
+++ b/winchspan/cluster/takeover_service.py
@@ -1,4 +1,4 @@
-"""Takes over the journals of couriers that are gone, step by step."""
+"""Takes over the journals of failed couriers, step by step."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 from winchspan.replication.placement import is_takeover_incomplete
 from winchspan.storage.journal_records import JournalEntry
 
-RETRY_INTERVAL_MS: Final = 200.0  # after which members or the leader are asked once more
+RETRY_INTERVAL_MS: Final = 200.0  # between two requests to the members or to the leader
 
-SecureCallback = Callable[[Callable[[], None], Callable[[], None]], None]
+WhenReplicated = Callable[[Callable[[], None], Callable[[], None]], None]
 
 
 @dataclass(slots=True)
@@ -30,14 +30,14 @@
     """A journal that is being taken over.
 
     Attributes:
-        epoch: of this courier's lease on the journal.
-        started_ms: when it began.
-        last_request_ms: when members or the leader were last asked.
+        epoch: epoch of this courier's lease on the journal.
+        started_ms: time at which the takeover started.
+        last_request_ms: time of the last request to the members or to the leader.
         promised_by: members that have promised the epoch.
-        entries: the open messages, once they are in this courier's journal.
-        offline_endpoints: that an operator had taken out of service at the owner.
+        entries: open messages that are written to this courier's journal.
+        offline_endpoints: endpoints that an operator had taken offline at the owner.
         is_journaled: whether all entries are in this courier's journal.
-        is_replicated: whether they are replicated, too.
+        is_replicated: whether all entries are replicated, too.
     """
 
     epoch: int
@@ -52,27 +52,32 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeoverPorts:
-    """What a takeover acts on.
+    """Components that a takeover uses.
 
     Attributes:
-        holder: the replicas held here.
-        claims: are made on what is taken over.
-        late_deliveries: reported by the owner.
-        counters: of replication.
-        secure: calls back once all that is written so far is replicated, or will not be.
-        is_owner: whether this courier may act on its own journal now.
+        holder: replicas on this courier's disk.
+        claims: announces claims on the messages taken over.
+        late_deliveries: deliveries that the owner reports.
+        counters: counters of replication.
+        when_replicated: calls back once all records written so far are replicated, or will not be.
+        is_owner: returns whether this courier may act on its own journal now.
     """
 
     holder: ReplicaHolder
     claims: ClaimService
     late_deliveries: LateDeliveries
     counters: ReplicationCounters
-    secure: SecureCallback
+    when_replicated: WhenReplicated
     is_owner: Callable[[], bool]
 
 
 class TakeoverService:
-    """The journals of others that this courier takes over."""
+    """The journals of other couriers that this courier takes over.
+
+    Attributes:
+        is_discarding: whether entries are being completed that were never in force at this courier, so that
+            their completion is not a delivery.
+    """
 
     def __init__(
         self,
@@ -89,16 +94,16 @@
         self._ports = ports
         self._engine: DeliveryEngine
         self._takeovers: dict[str, Takeover] = {}  # by owner
-        self.is_discarding = False  # what completes now was never in force here: it is no delivery
+        self.is_discarding = False
         self._bus.subscribe(EpochPromiseRequested, self._on_promise_requested)
         self._bus.subscribe(EpochPromised, self._on_promised)
 
     def attach_engine(self, engine: DeliveryEngine) -> None:
-        """Take the engine that continues what is taken over."""
+        """Set the engine that resumes the messages taken over."""
         self._engine = engine
 
     def run_due(self, now: float) -> None:
-        """Take one more step in each takeover."""
+        """Advance each takeover by one step."""
         table = self._leases.table
         for role, lease in list(table.leases.items()):
             owner = role.removeprefix(JOURNAL_ROLE_PREFIX)
@@ -115,7 +120,7 @@
                 self._advance(now, owner, self._current_takeover(now, owner, epoch))
 
     def on_role_lost(self, role: str) -> None:
-        """Discard a takeover that is not complete, as its role is given up."""
+        """Discard an incomplete takeover, since its role is released."""
         takeover = self._takeovers.pop(role.removeprefix(JOURNAL_ROLE_PREFIX), None)
         if takeover is not None:
             self._discard_entries(takeover)
@@ -125,11 +130,11 @@
         if takeover is None or takeover.epoch != epoch:
             takeover = Takeover(epoch, now)
             self._takeovers[owner] = takeover
-            logger.info("takeover: begins with the messages of {}, epoch {}", owner, epoch)
+            logger.info("takeover: started for the messages of {}, epoch {}", owner, epoch)
         return takeover
 
     def _advance(self, now: float, owner: str, takeover: Takeover) -> None:
-        """Ask all holders for their promise, enter the open messages, and propose the takeover."""
+        """Collect the promises of all live replicas, journal the open messages, and propose the takeover."""
         if not self._ports.holder.promise(owner, takeover.epoch):
             return
         if not self._live_replica_nodes(owner) <= takeover.promised_by:
@@ -150,11 +155,11 @@
         return {name for name in nodes if name in live}
 
     def _journal_entries(self, owner: str, takeover: Takeover) -> bool:
-        """Enter all open messages of a replica into this journal; return False if there is no room."""
+        """Write all open messages of a replica to this journal; return False if its capacity is exceeded."""
         store = self._ports.holder.store
         for entry in store.open_messages(owner):
             if entry.redelivery_of or is_takeover_incomplete(entry.origin, self._leases.table):
-                continue  # it is kept in the owner's archive, or was never the owner's
+                continue  # the owner's archive stores it, or the owner never owned it
             number = self._delivery.journal.take_over(entry, owner, takeover.epoch)
             if number is None:
                 logger.error("takeover: no capacity for the messages of {}", owner)
@@ -164,18 +169,18 @@
         replica = store.replica(owner)
         takeover.offline_endpoints = list(replica.disabled_endpoints) if replica is not None else []
         takeover.is_journaled = True
-        self._ports.secure(lambda: _mark_replicated(takeover), lambda: None)
+        self._ports.when_replicated(lambda: _mark_replicated(takeover), lambda: None)
         return True
 
     def _discard_entries(self, takeover: Takeover) -> None:
-        """End the entries of a takeover that is not in force."""
+        """Complete the entries of a takeover that is not in force."""
         self.is_discarding = True
         self._delivery.journal.record_completed([entry.number for entry in takeover.entries])
         self.is_discarding = False
         takeover.entries.clear()
 
     def _complete(self, owner: str, takeover: Takeover) -> None:
-        """Continue a journal that is agreed to be this courier's."""
+        """Resume the messages of a journal whose takeover by this courier is committed."""
         del self._takeovers[owner]
         entries = takeover.entries
         executed_count = sum(
@@ -195,7 +200,7 @@
         counters.messages_taken_over += len(entries)
         counters.possibly_executed += executed_count
         self._ports.claims.claim(owner, takeover.epoch, entries)
-        self.is_discarding = True  # of an id that is here already, the second
+        self.is_discarding = True  # adopting completes entries whose message id this courier already has
         self._engine.adopt(entries)
         self.is_discarding = False
         self._ports.late_deliveries.complete_reported(owner, entries)
@@ -207,7 +212,7 @@
                 logger.warning("takeover: endpoint {} stays offline, as it was at {}", name, owner)
 
     def _on_promise_requested(self, sender: str, message: EpochPromiseRequested) -> None:
-        """Promise an epoch to whom the table names; a member whose table is behind asks again."""
+        """Promise an epoch to the lease holder; if the lease table here is behind, the holder asks again."""
         lease = self._leases.table.leases.get(journal_role(message.owner))
         if lease is None or (lease.holder, lease.epoch) != (sender, message.epoch):
             return
--- a/winchspan/config/__init__.py
+++ b/winchspan/config/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's configuration, its settings and their transitions, and the operator's file."""
+"""The platform's configuration, its settings and transitions between them, and the operator's file."""
--- a/winchspan/config/errors.py
+++ b/winchspan/config/errors.py
@@ -1,5 +1,5 @@
-"""The base of all errors of the configuration."""
+"""The base class of all configuration errors."""
 
 
 class ConfigurationError(Exception):
-    """A configuration cannot be used; the message names the faulty place."""
+    """A configuration is invalid; the message names the faulty place."""
--- a/winchspan/config/json_fields.py
+++ b/winchspan/config/json_fields.py
@@ -1,4 +1,4 @@
-"""Typed access to the fields of JSON objects from outside; every fault names its field."""
+"""Typed access to the fields of untrusted JSON objects; every error names its field."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 _T = TypeVar("_T")
 MAX_FINITE: Final = 1e300
-"""Numbers are below this in magnitude: Python's JSON reader lets NaN and infinities through."""
+"""Upper bound on the magnitude of numbers, as Python's JSON parser accepts NaN and infinities."""
 
 
 class FieldError(ConfigurationError):
-    """A field is missing or has the wrong type or value; the message names it."""
+    """A field is missing or has the wrong type or value; the message names the field."""
 
 
-def parse_json(data: bytes | str) -> Any:  # noqa: ANN401 - what it is, the caller checks
-    """Parse JSON from outside.
+def parse_json(data: bytes | str) -> Any:  # noqa: ANN401 - the caller checks the type
+    """Parse untrusted JSON.
 
     Raises:
-        FieldError: if it is no JSON, or nested too deeply.
+        FieldError: if it is not valid JSON, or is nested too deeply.
     """
     try:
         return json.loads(data)
@@ -32,10 +32,10 @@
 def read_field(
     obj: Mapping[str, Any], name: str, types: type[_T] | tuple[type[_T], ...], default: _T | None = None
 ) -> _T:
-    """Return a field of the right type, or its default when it is absent or null.
+    """Return a field of the given type, or its default if the field is absent or null.
 
     Raises:
-        FieldError: if it has another type, or is absent and has no default.
+        FieldError: if it has another type, or is absent without a default.
     """
     value = obj.get(name)
     if value is None:
@@ -48,14 +48,14 @@
 
 
 def read_integer(obj: Mapping[str, Any], name: str, default: int | None = None) -> int:
-    """Return a whole number; JSON may have it as a float without a fraction.
+    """Return an integer; JSON may represent it as a float without a fraction.
 
     Raises:
-        FieldError: if it is no whole number, or is absent and has no default.
+        FieldError: if it is not an integer, or is absent without a default.
     """
     value = read_field(obj, name, (int, float), default)
-    if isinstance(value, float) and not value.is_integer():  # neither are NaN and the infinities
-        raise FieldError(f"field {name!r} is no whole number: {value!r}")
+    if isinstance(value, float) and not value.is_integer():  # also false for NaN and infinities
+        raise FieldError(f"field {name!r} is not an integer: {value!r}")
     return int(value)
 
 
@@ -63,7 +63,7 @@
     """Return a number that is neither NaN nor infinite.
 
     Raises:
-        FieldError: if it is none, or is absent and has no default.
+        FieldError: if it is not such a number, or is absent without a default.
     """
     value = read_field(obj, name, (int, float), default)
     if not abs(value) < MAX_FINITE:  # NaN compares as false
@@ -72,10 +72,10 @@
 
 
 def read_choice(choices: Mapping[Any, _T], value: object, name: str) -> _T:
-    """Return what a word or code of the wire stands for.
+    """Return the choice that a word or code of the wire represents.
 
     Raises:
-        FieldError: if the value is none of the choices.
+        FieldError: if the value is not one of the choices.
     """
     try:
         return choices[value]
@@ -84,27 +84,27 @@
 
 
 def read_array(obj: Mapping[str, Any], name: str) -> list[Any]:
-    """Return an array, empty when absent; raises FieldError if the field is something else."""
+    """Return an array, empty if absent; raises FieldError if the field has another type."""
     empty: list[Any] = []
     return read_field(obj, name, list, empty)
 
 
 def read_object(obj: Mapping[str, Any], name: str) -> dict[str, Any]:
-    """Return an object, empty when absent; raises FieldError if the field is something else."""
+    """Return an object, empty if absent; raises FieldError if the field has another type."""
     empty: dict[str, Any] = {}
     return read_field(obj, name, dict, empty)
 
 
 def key_paths(data: object, parent: str = "", excluded: frozenset[str] = frozenset()) -> set[str]:
-    """Return the dotted paths of all keys that have a value.
+    """Return the dotted paths of all keys with a value.
 
     Args:
         data: parsed JSON.
         parent: the path of `data` itself.
-        excluded: paths that are left out, with all below them.
+        excluded: paths that are omitted, with all paths below them.
 
     Returns:
-        The paths; of an array of objects (`name[]`) those that all of its objects have.
+        The paths; for an array of objects (`name[]`), those that all of its objects have.
     """
     if isinstance(data, dict):
         paths: set[str] = set()
--- a/winchspan/config/operator/__init__.py
+++ b/winchspan/config/operator/__init__.py
@@ -1,4 +1,4 @@
-"""The operator's own file: S-expressions that are read, validated and given defaults in one place."""
+"""The operator's file: reads S-expressions, validates them against a schema and fills in defaults."""
 
 from winchspan.config.operator.reader import Node, OperatorError, read_nodes
 from winchspan.config.operator.schema import (
--- a/winchspan/config/operator/loader.py
+++ b/winchspan/config/operator/loader.py
@@ -1,4 +1,4 @@
-"""Loads an operator's file: reads it, validates it, and checks its sections against each other."""
+"""Loads an operator's file: reads and validates it, and checks the consistency of its sections."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from winchspan.config.operator.sections import SECTIONS
 
 MAX_SOCKET_PATH_BYTES: Final = 100
-"""The system takes a few more in a socket's path: unix(7)."""
+"""Slightly below the limit of the system for a socket path: unix(7)."""
 
 ROUNDING_TOLERANCE: Final = 1e-9
 
@@ -20,10 +20,10 @@
     """Load an operator's file.
 
     Returns:
-        The values of each section by key; of a repeatable section those of each name.
+        The values of each section by key; for a repeatable section, by name and key.
 
     Raises:
-        OperatorError: if it cannot be used; the message names file, line, column and key.
+        OperatorError: if it is invalid; the message names file, line, column and key.
     """
     values = validate_sections(read_nodes(_read_text(path), str(path)), SECTIONS, str(path))
     _check_resend_rules(path, values["resend"])
@@ -45,7 +45,7 @@
 
 
 def _check_resend_rules(path: Path, rules: Mapping[str, Mapping[str, Any]]) -> None:
-    """Check that each rule has either no hours or two."""
+    """Check that each rule has either no hours or a first and a last one."""
     for title, rule in rules.items():
         hour_count = len(rule["hours"])
         if hour_count not in (0, 2):
@@ -53,7 +53,7 @@
 
 
 def _check_control(path: Path, control: Mapping[str, Any]) -> None:
-    """Check that the control socket can be created where it is needed."""
+    """Check that the control socket can be created, if it is enabled."""
     if not control["on"]:
         return
     socket_path = control["socket"]
@@ -66,24 +66,24 @@
 
 
 def _check_undelivered(path: Path, undelivered: Mapping[str, Any]) -> None:
-    """Check that the store's directory exists where it is needed."""
+    """Check that the directory of the store exists, if the store is enabled."""
     folder = undelivered["folder"]
     if undelivered["on"] and not (folder and Path(folder).is_dir()):
         raise OperatorError(f"{path}: undelivered.folder: expected an existing folder, not {folder!r:.80}")
 
 
 def _check_shared_resends(values: Mapping[str, Mapping[str, Any]]) -> None:
-    """Check that the rules which the fleet shares have a store to work on."""
+    """Check that there is a store for resend rules that the fleet shares."""
     fleet = values["fleet"]
     if fleet["on"] and fleet["shared-resends"] and not values["undelivered"]["on"]:
         raise OperatorError(
-            f"{location_of(fleet, 'shared-resends')}: fleet.shared-resends: there is "
-            "nothing to send again while undelivered.on is no"
+            f"{location_of(fleet, 'shared-resends')}: fleet.shared-resends: needs "
+            "undelivered.on: there are no messages to resend otherwise"
         )
 
 
 def _check_storms(path: Path, storms: Mapping[str, Any]) -> None:
-    """Check the shares of the section `storms` against each other."""
+    """Check the consistency of the shares in the section `storms`."""
     calm_share = storms["calm-share"]
     storm_share = storms["storm-share"]
     if calm_share >= storm_share:
@@ -93,4 +93,4 @@
         )
     parts_sum = sum(storms["parts"])
     if parts_sum > 1.0 + ROUNDING_TOLERANCE:
-        raise OperatorError(f"{path}: storms.parts: must sum to 1 at most, not {parts_sum:g}")
+        raise OperatorError(f"{path}: storms.parts: must sum to at most 1, not {parts_sum:g}")
--- a/winchspan/config/operator/reader.py
+++ b/winchspan/config/operator/reader.py
@@ -1,4 +1,4 @@
-"""Reads S-expressions with sexpdata and keeps each part's place, so that every error can name it."""
+"""Reads S-expressions with sexpdata and records the position of each node, for error messages."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from winchspan.config.errors import ConfigurationError
 
 MAX_FILE_CHARACTERS: Final = 256 * 1024
-"""Limit of an operator's file: it holds settings, not a data set."""
+"""Upper bound on the size of an operator's file, which holds only settings."""
 
 _BOOLEANS: Final = {"yes": True, "no": False}
 
 
 class OperatorError(ConfigurationError):
-    """The operator's file cannot be used; the message names file, line, column and key."""
+    """The operator's file is invalid; the message names file, line, column and key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Node:
-    """One part of the file: an atom (str, int, float, bool) or a list of parts, and its place."""
+    """A node of the file: an atom (str, int, float, bool) or a list of nodes, and its position."""
 
     value: Any
     line: int  # from 1
@@ -30,47 +30,47 @@
 
     @property
     def is_list(self) -> bool:
-        """Whether it is a list in round brackets."""
+        """Whether the node is a list in round brackets."""
         return isinstance(self.value, list)
 
 
 @dataclass(frozen=True, slots=True)
-class _PlacedAtom:
-    """An atom as sexpdata has parsed it, and its offset in the text."""
+class _PositionedAtom:
+    """An atom that sexpdata has parsed, and its offset in the text."""
 
     value: Any
     offset: int
 
 
-class _PlacedList(list[Any]):
-    """A list that sexpdata has parsed, and the offset behind its opening bracket."""
+class _PositionedList(list[Any]):
+    """A list that sexpdata has parsed, and the offset after its opening bracket."""
 
     offset = 0
 
 
 class _Parser(sexpdata.Parser):  # type: ignore[misc]
-    """sexpdata's parser, which also records the offset of each part."""
+    """A parser of sexpdata that also records the offset of each node."""
 
-    def parse_atom(self, i: int) -> tuple[int, _PlacedAtom]:
-        """Parse a number, a word, yes or no."""
+    def parse_atom(self, i: int) -> tuple[int, _PositionedAtom]:
+        """Parse a number, a word, `yes` or `no`."""
         end, value = super().parse_atom(i)
-        return end, _PlacedAtom(value, i)
+        return end, _PositionedAtom(value, i)
 
-    def parse_str(self, i: int) -> tuple[int, _PlacedAtom]:
-        """Parse a text in double quotes."""
+    def parse_str(self, i: int) -> tuple[int, _PositionedAtom]:
+        """Parse a string in double quotes."""
         end, value = super().parse_str(i)
-        return end, _PlacedAtom(value, i)
+        return end, _PositionedAtom(value, i)
 
-    def parse_sexp(self, i: int) -> tuple[int, _PlacedList]:
-        """Parse what stands between two brackets."""
+    def parse_sexp(self, i: int) -> tuple[int, _PositionedList]:
+        """Parse the contents of a list."""
         end, parts = super().parse_sexp(i)
-        placed = _PlacedList(parts)
-        placed.offset = i
-        return end, placed
+        positioned = _PositionedList(parts)
+        positioned.offset = i
+        return end, positioned
 
 
 class _Document:
-    """The text of a file, which turns what sexpdata has parsed into nodes."""
+    """The text of a file; converts the parsed values of sexpdata to nodes."""
 
     def __init__(self, text: str, name: str) -> None:
         self._name = name
@@ -81,34 +81,34 @@
         """The number of the last line."""
         return len(self._line_offsets)
 
-    def place(self, offset: int) -> tuple[int, int]:
+    def position(self, offset: int) -> tuple[int, int]:
         """Return the line and the column of an offset, both from 1."""
         line = bisect_right(self._line_offsets, offset)
         return line, offset - self._line_offsets[line - 1] + 1
 
     def node(self, part: object) -> Node:
-        """Return the node of a parsed part, with all nodes below it."""
+        """Return the node of a parsed value, with all nodes below it."""
         match part:
-            case _PlacedList():
+            case _PositionedList():
                 children = [self.node(child) for child in part]
-                return Node(children, *self.place(max(0, part.offset - 1)))
-            case _PlacedAtom(sexpdata.Symbol() as symbol, offset):
+                return Node(children, *self.position(max(0, part.offset - 1)))
+            case _PositionedAtom(sexpdata.Symbol() as symbol, offset):
                 word = str(symbol.value())
-                return Node(_BOOLEANS.get(word, word), *self.place(offset))
-            case _PlacedAtom(value, offset):
-                return Node(value, *self.place(offset))
-        raise OperatorError(f"{self._name}: only round brackets, words, numbers and texts are read")
+                return Node(_BOOLEANS.get(word, word), *self.position(offset))
+            case _PositionedAtom(value, offset):
+                return Node(value, *self.position(offset))
+        raise OperatorError(f"{self._name}: only round brackets, words, numbers and strings are supported")
 
 
 def read_nodes(text: str, name: str) -> list[Node]:
-    """Parse a whole file.
+    """Parse the text of a file.
 
     Args:
-        text: what the file holds.
-        name: what errors call the file.
+        text: the contents of the file.
+        name: the file name in error messages.
 
     Raises:
-        OperatorError: if the text is too long, or no sequence of S-expressions.
+        OperatorError: if the text is too long, or is not a sequence of S-expressions.
     """
     if len(text) > MAX_FILE_CHARACTERS:
         raise OperatorError(f"{name}: larger than {MAX_FILE_CHARACTERS} bytes")
@@ -117,12 +117,12 @@
         parts = _Parser(text, nil=None, true=None, false=None).parse()
         return [document.node(part) for part in parts]
     except sexpdata.ExpectClosingBracket:
-        raise OperatorError(f"{name}:{document.line_count}: a bracket is not closed") from None
+        raise OperatorError(f"{name}:{document.line_count}: unclosed bracket") from None
     except sexpdata.ExpectNothing as err:
         unparsed = str(err).split(": ", 1)[-1]
-        line, column = document.place(len(text) - len(unparsed))
-        raise OperatorError(f"{name}:{line}:{column}: a bracket closes nothing") from None
-    except (AttributeError, IndexError):  # sexpdata's errors at the end of the text
-        raise OperatorError(f"{name}:{document.line_count}: a text is not closed") from None
+        line, column = document.position(len(text) - len(unparsed))
+        raise OperatorError(f"{name}:{line}:{column}: unexpected closing bracket") from None
+    except (AttributeError, IndexError):  # raised by sexpdata at the end of the text
+        raise OperatorError(f"{name}:{document.line_count}: unclosed string") from None
     except (RecursionError, sexpdata.ExpectSExp):
-        raise OperatorError(f"{name}: nested too deeply, or a quote before nothing") from None
+        raise OperatorError(f"{name}: nested too deeply, or a quote without an expression") from None
--- a/winchspan/config/operator/schema.py
+++ b/winchspan/config/operator/schema.py
@@ -1,7 +1,7 @@
 """The schema language of the operator's file: sections and keys with types, units, ranges and defaults.
 
-A key takes its value as `(key value)`, in the unit that the schema names. All faults of a file are reported
-at once, each with file, line, column and key.
+A key is written as `(key value)`, in the unit that the schema names. All faults of a file are reported
+together, each with file, line, column and key.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class KeyFault(NamedTuple):
-    """What is wrong with a key of a section."""
+    """A fault of a key in a section."""
 
     key: str
     text: str
@@ -28,14 +28,14 @@
 
     Attributes:
         name: the key in the file.
-        value_type: bool, int, float, str or tuple; a tuple holds any number of values, each within the range.
-        default: the value of a key that is absent.
-        description: for the operators' page.
-        unit: of a number.
-        minimum: the smallest number allowed.
-        maximum: the greatest number allowed.
-        choices: the words allowed; empty for any.
-        item_type: what a tuple holds: float, int or str.
+        value_type: bool, int, float, str or tuple; a tuple takes any number of values, each within the range.
+        default: the value of an absent key.
+        description: its description on the operators' page.
+        unit: the unit of a number.
+        minimum: the smallest allowed number.
+        maximum: the largest allowed number.
+        choices: the allowed words; empty: any word.
+        item_type: the type of the values of a tuple: float, int or str.
     """
 
     name: str
@@ -50,13 +50,13 @@
 
     @property
     def allowed_values(self) -> str:
-        """What may be given, in words."""
+        """The allowed values, as text."""
         if self.choices:
             return " or ".join(self.choices)
         if self.value_type is bool:
             return "yes or no"
         if self.value_type is str:
-            return "a text"
+            return "a string"
         if self.value_type is tuple:
             if self.item_type is str:
                 return "words"
@@ -70,12 +70,12 @@
     """A section of the file: `(name (key value) ...)`.
 
     Attributes:
-        name: the section in the file.
-        description: for the operators' page.
+        name: the name of the section in the file.
+        description: its description on the operators' page.
         keys: all keys of the section.
-        is_repeatable: whether it stands any number of times, each with a name of its own:
+        is_repeatable: whether it may occur any number of times, each time with a different name:
             `(rule "nightly" (key value))`.
-        find_faults: checks the values against each other.
+        find_faults: checks the consistency of the values.
     """
 
     name: str
@@ -90,7 +90,7 @@
 
 
 class Values(dict[str, Any]):
-    """The values of a section by key, and the place of each that the file has; "" is the section's place."""
+    """The values of a section by key, and the location of each key in the file; "" is that of the section."""
 
     locations: Mapping[str, str] = {"": "?"}
 
@@ -107,15 +107,15 @@
     """Check a file against the schema and fill in defaults.
 
     Args:
-        nodes: the parts of the file.
+        nodes: the nodes of the file.
         sections: the schema.
-        name: what errors call the file.
+        name: the file name in error messages.
 
     Returns:
-        The values of each section by key; of a repeatable section those of each name.
+        The values of each section by key; for a repeatable section, by name and key.
 
     Raises:
-        OperatorError: if there is any fault; its message has a line for each.
+        OperatorError: if there are faults; the message has one line per fault.
     """
     validator = _Validator(sections, name)
     for node in nodes:
@@ -145,12 +145,12 @@
         elif section.is_repeatable:
             self._visit_named(section, node)
         elif section.name in self._found:
-            self._add_fault(head, f"{section.name}: the section stands twice")
+            self._add_fault(head, f"{section.name}: duplicate section")
         else:
             self._found[section.name] = self._section_values(section, node)
 
     def result(self) -> dict[str, dict[str, Any]]:
-        """Return the values of all sections; raises OperatorError if there was a fault."""
+        """Return the values of all sections; raises OperatorError if there are faults."""
         if self._faults:
             raise OperatorError("\n".join(self._faults))
         values = {}
@@ -166,18 +166,18 @@
         return f"{self._file_name}:{node.line}:{node.column}"
 
     def _visit_named(self, section: Section, node: Node) -> None:
-        """Check one of the sections that may be repeated under different names."""
+        """Check one occurrence of a repeatable section."""
         named = self._found.setdefault(section.name, {})
         title = node.value[1].value if len(node.value) > 1 else None
         if not isinstance(title, str):
             self._add_fault(node, f"{section.name}: expected a name first")
         elif title in named:
-            self._add_fault(node.value[1], f"{section.name}: {title!r} stands twice")
+            self._add_fault(node.value[1], f"{section.name}: duplicate name {title!r}")
         else:
             named[title] = section.defaults() | self._key_values(section, node.value[2:])
 
     def _section_values(self, section: Section, node: Node) -> Values:
-        """Check a section that stands once, also its values against each other."""
+        """Check a section that is not repeatable, including the consistency of its values."""
         parts: list[Node] = node.value[1:]
         values = Values(section.defaults() | self._key_values(section, parts))
         part_by_key = {
@@ -191,7 +191,7 @@
         return values
 
     def _key_values(self, section: Section, parts: Iterable[Node]) -> dict[str, Any]:
-        """Return the values of the keys that stand in one section."""
+        """Return the values of the keys in one section."""
         keys = {key.name: key for key in section.keys}
         values: dict[str, Any] = {}
         for part in parts:
@@ -204,7 +204,7 @@
             if key is None:
                 self._add_fault(head, f"{path}: unknown key; there are {', '.join(keys)}")
             elif key.name in values:
-                self._add_fault(head, f"{path}: the key stands twice")
+                self._add_fault(head, f"{path}: duplicate key")
             else:
                 self._read_value(key, part, path, values)
         return values
@@ -227,7 +227,7 @@
 
 
 def _head_word(node: Node) -> Node | None:
-    """Return the word that a list begins with, or None if it is no list or begins otherwise."""
+    """Return the word at the beginning of a list, or None if there is none."""
     if not node.is_list or not node.value:
         return None
     head: Node = node.value[0]
@@ -235,13 +235,13 @@
 
 
 def _checked_atom(key: Key, node: Node) -> Atom:
-    """Return the value of a key; raises ValueError with what was expected."""
+    """Return the value of a key; raises ValueError with the expected values."""
     value = node.value
     if key.value_type is float and isinstance(value, int) and not isinstance(value, bool):
         value = float(value)
     is_valid = isinstance(value, key.value_type) and (key.value_type is bool or not isinstance(value, bool))
     if is_valid and key.value_type in (int, float):
-        is_valid = key.minimum <= value <= key.maximum  # NaN is not
+        is_valid = key.minimum <= value <= key.maximum  # false for NaN
     if is_valid and key.choices:
         is_valid = value in key.choices
     if not is_valid:
@@ -255,7 +255,7 @@
     """Return the schema as a commented example file: each key with its default."""
     lines = []
     for section in sections:
-        # Repeatable sections are commented out: there is none unless one is named.
+        # Repeatable sections are commented out, as none exists by default.
         prefix = "; " if section.is_repeatable else ""
         title = ' "name"' if section.is_repeatable else ""
         lines.append(f"; {section.description}")
@@ -268,7 +268,7 @@
 
 
 def _default_in_file(key: Key) -> str:
-    """Return a key's default as the file has it."""
+    """Return the default of a key in the syntax of the file."""
     if key.value_type is bool:
         return "yes" if key.default else "no"
     if key.value_type is str and not key.choices:
@@ -279,7 +279,7 @@
 
 
 def render_markdown(sections: Sequence[Section]) -> str:
-    """Return the schema as the tables of the operators' page."""
+    """Return the schema as tables for the operators' page."""
     lines = []
     for section in sections:
         lines.append(f"## `{section.name}`\n\n{section.description}\n")
@@ -292,7 +292,7 @@
 
 
 def _default_on_page(key: Key) -> str:
-    """Return a key's default as the operators' page has it."""
+    """Return the default of a key for the operators' page."""
     if key.value_type is bool:
         return "yes" if key.default else "no"
     if key.default in ((), ""):
--- a/winchspan/config/platform.py
+++ b/winchspan/config/platform.py
@@ -1,6 +1,6 @@
-"""Reads, checks and completes the platform's configuration: the one place where this is done.
+"""Reads and validates the platform's configuration, and fills in defaults.
 
-The file named by ROUTER_CONFIG holds it as JSON; ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY,
+The file named by ROUTER_CONFIG holds the configuration as JSON; ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY,
 ROUTER_STATE and ROUTER_ADMIN override the file. Every error names the faulty key.
 """
 
@@ -35,12 +35,12 @@
 
 
 class ConfigError(ConfigurationError):
-    """The platform's configuration cannot be used; the message names the faulty key."""
+    """The platform's configuration is invalid; the message names the faulty key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Where to listen or connect."""
+    """An address to listen on or to connect to."""
 
     host: str
     port: int
@@ -51,22 +51,22 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformConfig:
-    """The configuration of a courier, as it is at the start.
+    """The configuration of a courier at its start.
 
     Attributes:
         name: the courier's name.
-        listen: where clients connect.
-        discovery: where the discovery service is.
-        data_directory: an existing directory, which survives a restart.
-        seed: of the random numbers.
-        max_sockets: sockets that may be open at once.
-        max_disk_bytes: bytes that the data directory may take.
-        log_level: of the lines that are logged, and of more severe ones.
-        known_endpoints: the endpoint list to begin with.
-        settings: what the scheduler goes by.
-        admin_address: where operators connect; None if there is no such service.
-        present_keys: the dotted paths of the keys that the file has.
-        listener_fd: the descriptor of the clients' listening socket where the platform has opened it.
+        listen: the address to which clients connect.
+        discovery: the address of the discovery service.
+        data_directory: an existing directory that survives a restart.
+        seed: the seed of the random numbers.
+        max_sockets: upper bound on open sockets.
+        max_disk_bytes: upper bound on the size of the data directory.
+        log_level: the lowest level that is logged.
+        known_endpoints: the initial endpoint list.
+        settings: the settings of the scheduler.
+        admin_address: the address of the admin server; None if there is none.
+        present_keys: the dotted paths of the keys in the file.
+        listener_fd: the descriptor of the clients' listening socket, if the platform has opened it.
     """
 
     name: str
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Fields:
-    """The fields of the file and of the environment that are well-formed, not yet checked for their range."""
+    """The parsed fields of the file and of the environment, before their ranges are checked."""
 
     name: str
     listen: Address
@@ -108,7 +108,7 @@
         environ: the environment variables.
 
     Raises:
-        ConfigError: if it cannot be used.
+        ConfigError: if it is invalid.
     """
     path = environ.get("ROUTER_CONFIG")
     return _build(environ, _read_file(path) if path else {})
@@ -117,12 +117,12 @@
 def reload_platform_config(environ: Mapping[str, str], running: PlatformConfig) -> PlatformConfig:
     """Read the file again and return the running configuration with its `discovery` and `settings`.
 
-    ROUTER_DISCOVERY is as old as the process: the file takes precedence, or the discovery watch could never
-    move. All else in the file is checked, and takes effect at the next start.
+    The file takes precedence over ROUTER_DISCOVERY, which cannot change while the process runs; otherwise
+    the discovery address could never change. All other keys are checked, and take effect at the next start.
 
     Raises:
-        ConfigError: if the file cannot be used, or lacks a key that it had before: an incomplete file must
-            not turn into defaults.
+        ConfigError: if the file is invalid, or lacks a key that it had before: an incomplete file must not
+            replace values by defaults.
     """
     data = _read_file(environ.get("ROUTER_CONFIG", ""))
     present_keys = _present_keys(data)
@@ -136,14 +136,14 @@
 
 
 def parse_address(text: str, key: str) -> Address:
-    """Parse `host:port`.
+    """Parse an address `host:port`.
 
     Args:
         text: the address.
         key: the key that an error names.
 
     Raises:
-        ConfigError: if it is no address.
+        ConfigError: if the text is not an address.
     """
     host, colon, port = text.rpartition(":")
     is_number = port.isascii() and port.isdigit() and len(port) <= len(str(MAX_PORT))
@@ -166,12 +166,12 @@
 
 
 def _present_keys(data: Mapping[str, Any]) -> frozenset[str]:
-    """Return the paths of the file's keys, without those that matter only at a start."""
+    """Return the paths of the file's keys, except for those that apply only at the start."""
     return frozenset(key_paths(data, excluded=_START_ONLY_KEYS))
 
 
 def _build(environ: Mapping[str, str], data: Mapping[str, Any]) -> PlatformConfig:
-    """Build the configuration from the file and from what overrides it."""
+    """Build the configuration from the file and the environment variables that override it."""
     try:
         fields = _read_fields(environ, data)
     except FieldError as err:
@@ -195,7 +195,7 @@
 
 
 def _read_fields(environ: Mapping[str, str], data: Mapping[str, Any]) -> _Fields:
-    """Read all fields but the settings."""
+    """Read all fields except for the settings."""
 
     def required(variable: str, key: str, default: str = "") -> str:
         value = environ.get(variable) or read_field(data, key, str, default)
@@ -224,7 +224,7 @@
 
 
 def _parse_seed(text: str) -> int:
-    """Parse the seed, hexadecimal digits."""
+    """Parse the seed from hexadecimal digits."""
     try:
         return int(text, 16)
     except ValueError:
@@ -232,7 +232,7 @@
 
 
 def _check_ranges(fields: _Fields) -> None:
-    """Raise a ConfigError that names the first field whose value cannot be used."""
+    """Raise a ConfigError that names the first field with an invalid value."""
     descriptor = fields.listener_fd
     is_number = descriptor.isascii() and descriptor.isdigit() and len(descriptor) <= MAX_DESCRIPTOR_DIGITS
     if descriptor and not is_number:
@@ -244,11 +244,11 @@
     if fields.log_level not in LOG_LEVELS:
         raise ConfigError(f"ROUTER_LOG: expected DEBUG, INFO, WARNING or ERROR, not {fields.log_level!r:.80}")
     if not fields.data_directory.is_dir():
-        raise ConfigError(f"state: {fields.data_directory} is not a folder")
+        raise ConfigError(f"state: {fields.data_directory} is not a directory")
 
 
 def _read_settings(data: Mapping[str, Any]) -> api.Settings:
-    """Read the settings object, whose fields have types and ranges of their own."""
+    """Read the settings object, which checks the types and ranges of its own fields."""
     try:
         return settings_from_wire(read_field(data, "settings", dict))
     except (FieldError, ValueError, TypeError, AttributeError, ArithmeticError) as err:
--- a/winchspan/config/settings.py
+++ b/winchspan/config/settings.py
@@ -44,7 +44,7 @@
 
 
 def message_class_from_json(row: Mapping[str, Any]) -> api.MessageClass:
-    """Return a message class that `message_class_to_json` has written, in this version or an earlier one.
+    """Return a message class that `message_class_to_json` of this or an earlier version has written.
 
     Raises:
         FieldError: if a key is unknown, or the name or the effect is missing or unknown.
@@ -75,7 +75,7 @@
 
 
 def settings_from_wire(info: Mapping[str, Any]) -> api.Settings:
-    """Translate the settings object; unknown keys are ignored, faults are a FieldError or ValueError."""
+    """Translate the settings object, ignoring unknown keys; raises FieldError or ValueError if invalid."""
     limits = read_object(info, "limits")
     rules = read_object(info, "rules")
     family = read_object(info, "family_info")
@@ -136,7 +136,7 @@
 
 
 def _destination_kinds(info: Mapping[str, Any], family: Mapping[str, Any]) -> dict[str, api.DestinationKind]:
-    """Return the kinds of destinations by name; two arrays beside theirs may be shorter."""
+    """Return the kinds of destinations by name; the two parallel arrays of their values may be shorter."""
     apart_by_kind = read_array(family, "kind_apart")
     per_call_by_kind = read_array(family, "per_call")
     kinds = {}
@@ -156,7 +156,7 @@
 
 
 def _max_retry_after_ns(limits: Mapping[str, Any]) -> int:
-    """Return the longest wait that an endpoint may ask for; 0 if such answers are not used."""
+    """Return the longest wait that an endpoint may request; 0 if such responses are not used."""
     if not limits.get("retry_after"):
         return 0
     return read_integer(limits, "max_retry_after_ns", 0)
--- a/winchspan/dead_letters/archiver.py
+++ b/winchspan/dead_letters/archiver.py
@@ -1,10 +1,14 @@
-"""Moves messages that ended undelivered from the journal to the store.
+"""Moves undelivered messages from the journal to the store.
 
-The order makes it safe against a crash at any step: the end is journalled with its failure history; the
-notification is sent until it is acknowledged; the message is committed to the store; only then is it
-completed in the journal. A crash between the last two leaves it in both, and the next start finds that out
-(`reconcile`). Nothing waits for the store but the journal's record: not an answer, not a notification, not
-the loop.
+The order of the steps keeps a message safe through a crash at any of them:
+
+1. The journal records the final answer with the failure history.
+2. The notification is sent until it is acknowledged.
+3. The store commits the message.
+4. The journal completes the message.
+
+After a crash between steps 3 and 4 both files hold the message, and `reconcile` completes it at the next
+start. Only step 4 waits for the store: answers, notifications and the event loop never do.
 """
 
 from __future__ import annotations
@@ -26,13 +30,13 @@
 from winchspan.runtime.clock import Clock
 from winchspan.storage.journal_records import JournalEntry
 
-MAX_WAITING_MESSAGES: Final = 2_000  # for the store; beyond these bounds messages are not archived
+MAX_WAITING_MESSAGES: Final = 2_000  # queued for the store; messages beyond either limit are not archived
 MAX_WAITING_BYTES: Final = 4_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class ArchiverSettings(StoreSettings):
-    """What is archived, and where.
+    """Selects the archived messages, and places their store.
 
     Attributes:
         archives_failed: archive messages whose final answer is `failed`.
@@ -44,7 +48,7 @@
 
 
 class DeadLetterArchiver(StoreWorker):
-    """The courier's dead-letter port; its methods are called on the loop's thread."""
+    """Implements the courier's dead-letter port; its methods are called on the event loop's thread."""
 
     def __init__(
         self,
@@ -56,10 +60,10 @@
         """Start the store's thread.
 
         Args:
-            settings: what is archived, and where.
+            settings: which messages are archived, and the store's settings.
             platform: the platform's settings.
             clock: reads the time.
-            call_soon: hands a call to the loop from another thread.
+            call_soon: schedules a call on the event loop from another thread.
         """
         self._settings = settings
         self._converter = JournalEntryConverter(platform, clock)
@@ -68,11 +72,11 @@
         super().__init__(settings, clock, call_soon, self._converter.has_effect)
 
     def reconfigure(self, platform: api.Settings) -> None:
-        """Apply new settings of the platform."""
+        """Apply changed platform settings."""
         self._converter.settings = platform
 
     def should_archive(self, final_state: str) -> bool:
-        """Return whether messages with a final answer are archived."""
+        """Return whether messages with this final answer are archived."""
         if final_state == STATE_FAILED:
             return self._settings.archives_failed
         return self._settings.archives_returned
@@ -80,7 +84,7 @@
     def failure_history(
         self, entry: JournalEntry, attempts: list[AttemptRecord], destination_state: JsonObject
     ) -> JsonObject:
-        """Return why a message ends, as the journal records it with the notification."""
+        """Return the failure history that the journal records with the notification."""
         return failure_history_to_json(self._converter.failure_history(entry, attempts, destination_state))
 
     def archive(self, entry: JournalEntry, on_done: Callable[[], None]) -> None:
@@ -88,12 +92,12 @@
 
         Args:
             entry: the message.
-            on_done: called once it is in the store, and as well if it cannot be stored: nothing may wait for
-                that.
+            on_done: called once the message is stored. It is also called if the message cannot be stored,
+                because nothing may wait for a failed store.
         """
         dead_letter = self._converter.dead_letter(entry)
         if not self._has_capacity_for(dead_letter):
-            self._report_loss(1, "more wait for the store than may")
+            self._report_unstored(1, "the queue for the store is full")
             on_done()
             return
         self._waiting_count += 1
@@ -102,7 +106,7 @@
         def on_stored(_: object) -> None:
             self._waiting_count -= 1
             self._waiting_bytes -= dead_letter.size_bytes
-            if not self._is_closing:  # else the journal may be closed: the next start finds it in both
+            if not self._is_closing:  # the journal may be closed; the next start reconciles
                 on_done()
 
         self._submit(StoreJob(on_stored, dead_letter))
@@ -122,16 +126,17 @@
         history: JsonObject | None,
         on_done: Callable[[], None],
     ) -> None:
-        """Record the end of a redelivery in the store.
+        """Record the outcome of a redelivery in the store.
 
         Args:
             entry: the message.
-            is_delivered: whether it was delivered; else it is a dead letter again, with its further attempts.
-            history: why it was not delivered, as the journal has it.
-            on_done: called once the store has it; until then the journal keeps it, if need be until a
-                restart.
+            is_delivered: whether it was delivered. Otherwise it becomes a dead letter again, with the
+                attempts of the redelivery added.
+            history: the failure history of the redelivery, as the journal records it.
+            on_done: called once the store has recorded the outcome. Until then the message stays in the
+                journal, even across a restart.
         """
-        end = RedeliveryOutcome(
+        outcome = RedeliveryOutcome(
             ended_unix_ms=self._clock.unix_ms(),
             first_run_unix_ms=self._converter.wall_clock_ms(entry.first_executed_at_ms),
             first_executed_at_ms=entry.first_executed_at_ms,
@@ -139,7 +144,7 @@
         )
 
         def settle(store: DeadLetterStore) -> bool:
-            self._settle_in(store, entry, end, history)
+            self._settle_in(store, entry, outcome, history)
             return True
 
         def on_settled(is_settled: bool | None) -> None:
@@ -148,30 +153,34 @@
             if is_settled:
                 on_done()
             else:
-                # Guards against a redelivery whose end neither journal nor store would know.
+                # Guards against a redelivery whose outcome neither the journal nor the store records.
                 self._retry_when_usable(lambda: self.run_on_store(settle, on_settled))
 
         self.run_on_store(settle, on_settled)
 
     def _settle_in(
-        self, store: DeadLetterStore, entry: JournalEntry, end: RedeliveryOutcome, history: JsonObject | None
+        self,
+        store: DeadLetterStore,
+        entry: JournalEntry,
+        outcome: RedeliveryOutcome,
+        history: JsonObject | None,
     ) -> None:
-        """Record the end of a redelivery, on the store's thread, unless the store has it already."""
+        """Record the outcome of a redelivery, on the store's thread, unless it is recorded already."""
         dead_letter = store.get(entry.redelivery_of)
         if dead_letter is None or dead_letter.state is not DeadLetterState.REDELIVERING:
             return
-        if end.is_delivered:
-            changes = settlement.changes_after_delivery(end)
+        if outcome.is_delivered:
+            changes = settlement.changes_after_delivery(outcome)
         else:
             latest = self._converter.recorded_history(entry, history or None)
             has_effect = self._converter.has_effect(dead_letter.class_name)
-            changes = settlement.changes_after_failure(dead_letter, end, latest, has_effect=has_effect)
+            changes = settlement.changes_after_failure(dead_letter, outcome, latest, has_effect=has_effect)
         store.update(dead_letter.number, DeadLetterState.REDELIVERING, **changes)
 
     def reconcile(self, entries: list[JournalEntry]) -> set[int]:
-        """Return the numbers of those journal entries that the store has settled already, after a restart.
+        """Return the numbers of the journal entries that the store has already settled.
 
-        This uses the store on the caller's thread: at a start there is no traffic yet that could wait.
+        Opens the store on the caller's thread: at startup no traffic waits for it.
         """
         settings = self._settings
         if not settings.path.exists():
@@ -180,7 +189,7 @@
         try:
             store = DeadLetterStore(settings.path, settings.bounds, has_effect)
         except DeadLetterStoreError:
-            return set()  # the thread will report it
+            return set()  # the store's thread reports the error
         try:
             return settlement.reconcile(store, entries, has_effect)
         except DeadLetterStoreError:
--- a/winchspan/dead_letters/audit_log.py
+++ b/winchspan/dead_letters/audit_log.py
@@ -1,10 +1,10 @@
 """The audit log of operators' actions: entries chained by SHA-256, bounded by their number.
 
-The hash of an entry covers the hash before it and all fields of the entry. When the oldest entries are
-deleted, the chain begins with the hash of the last of those, and an entry of its own, chained like the rest,
-says which they were and with what hash they ended: a beginning that no entry vouches for is a broken chain.
+The hash of an entry covers the hash of the previous entry and all fields of the entry. Trimming deletes the
+oldest entries: the chain then starts with the hash of the last deleted entry, and a trim entry, chained like
+the others, records the number and the hash of that entry. A chain whose start has no trim entry is broken.
 
-The tables `trail` and `trail_start` and the texts in them stay as they are.
+The tables `trail` and `trail_start` and the texts in them are a stored format, which must not change.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 
 from winchspan.dead_letters.errors import AuditLogError
 
-TRIM_OPERATOR: Final = "winchspan"  # who deletes old entries
+TRIM_OPERATOR: Final = "winchspan"  # operator of the trim entries
 TRIM_ACTION: Final = "trim"
-SLACK_DIVISOR: Final = 10  # a tenth beyond the bound may accumulate, so that not each action deletes an entry
+SLACK_DIVISOR: Final = 10  # the log may exceed its bound by a tenth, so that not every append has to trim
 
 
 class AuditEntry(NamedTuple):
     """One entry, in the order in which its fields are hashed.
 
     Attributes:
-        sequence: its number, from 1 on.
-        at_unix_ms: when.
-        operator: who.
-        action: what was done.
-        message_number: the dead letter's number in the store; 0 for the log's own entries.
-        detail: why, or from where.
+        sequence: the entry's number, starting at 1.
+        at_unix_ms: time of the action.
+        operator: name of the operator who acted.
+        action: name of the action.
+        message_number: the dead letter's number in the store; 0 for trim entries.
+        detail: the operator's reason, or the source of an import or a report.
     """
 
     sequence: int
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AuditedAction:
-    """An operator's action that is to be logged; see `AuditEntry`."""
+    """An operator's action to be logged; for the fields see `AuditEntry`."""
 
     at_unix_ms: float
     operator: str
@@ -55,7 +55,7 @@
 
 
 class ChainStart(NamedTuple):
-    """Number and hash of the entry before the oldest one; 0 and empty if none was deleted."""
+    """Number and hash of the last deleted entry; 0 and empty if none was deleted."""
 
     sequence: int
     hash: bytes
@@ -70,11 +70,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AuditPage:
-    """Some entries, oldest first, of a log whose chain holds.
+    """A page of entries, oldest first, from a log whose chain was verified.
 
     Attributes:
         first_sequence: number of the log's oldest entry; 1 if it is empty.
-        head: hash of the latest entry in hexadecimal digits, to be noted elsewhere; empty if there is none.
+        head: hash of the latest entry in hexadecimal digits, for operators to record elsewhere; empty if the
+            log is empty.
         entries: the entries of the page.
     """
 
@@ -89,19 +90,19 @@
 
 
 def trim_detail(start: ChainStart) -> str:
-    """Return the detail of the entry that vouches for a chain's beginning."""
+    """Return the detail of the trim entry that accounts for a chain's start."""
     return f"entries up to {start.sequence} let go, which ended with {start.hash.hex()}"
 
 
 def append(
     database: sqlite3.Connection, max_entries: int, action: AuditedAction, message_number: int
 ) -> None:
-    """Append an entry within a transaction, and delete the oldest beyond the bound and a tenth.
+    """Append an entry within a transaction, and trim a log that exceeds its bound by more than a tenth.
 
     Args:
         database: the store, within a transaction.
-        max_entries: the bound.
-        action: what was done.
+        max_entries: bound on the number of entries.
+        action: the operator's action.
         message_number: the dead letter's number.
     """
     sequence = _insert(database, action, message_number)
@@ -135,33 +136,33 @@
 
 
 def read(start: ChainStart, rows: Iterable[tuple[Any, ...]], after: int, limit: int) -> AuditPage:
-    """Check the complete chain, a row at a time, and return a page of it.
+    """Verify the complete chain, one row at a time, and return a page of it.
 
-    Whoever can write the file can write a chain anew from some entry on; that shows against a head noted
-    elsewhere. Entries that were left out, changed or inserted show by themselves.
+    The chain alone reveals removed, changed and inserted entries. Whoever can write the file can also rebuild
+    the chain from some entry on: only a comparison with a head that was recorded elsewhere reveals that.
 
     Args:
-        start: number and hash before the oldest entry.
-        rows: all rows of the table `trail` by their number.
-        after: the number that ended the page before; 0 for the first page.
-        limit: entries of a page.
+        start: number and hash of the last deleted entry.
+        rows: all rows of the table `trail`, ordered by number.
+        after: last number of the previous page; 0 for the first page.
+        limit: maximum number of entries in the page.
 
     Raises:
-        AuditLogError: if the chain does not hold.
+        AuditLogError: if the chain is broken.
     """
     sequence, previous_hash = start
-    vouching_detail = trim_detail(start)
-    is_vouched = sequence == 0 and not previous_hash
+    expected_trim_detail = trim_detail(start)
+    has_valid_start = sequence == 0 and not previous_hash
     page: list[AuditEntry] = []
     for entry, stored_hash in _hashed_entries(rows):
         sequence += 1
         if entry.sequence != sequence or entry_hash(previous_hash, entry) != stored_hash:
             raise AuditLogError(f"the trail is broken at entry {sequence}")
         previous_hash = stored_hash
-        is_vouched = is_vouched or _vouches(entry, vouching_detail)
+        has_valid_start = has_valid_start or _is_trim_entry(entry, expected_trim_detail)
         if entry.sequence > after and len(page) < limit:
             page.append(entry)
-    if not is_vouched:
+    if not has_valid_start:
         raise AuditLogError(
             f"the trail is broken at entry {start.sequence}: nothing says that those up to it may go"
         )
@@ -169,7 +170,7 @@
     return AuditPage(start.sequence + 1, head, page)
 
 
-def _vouches(entry: AuditEntry, detail: str) -> bool:
+def _is_trim_entry(entry: AuditEntry, detail: str) -> bool:
     return entry.operator == TRIM_OPERATOR and entry.action == TRIM_ACTION and entry.detail == detail
 
 
--- a/winchspan/dead_letters/database.py
+++ b/winchspan/dead_letters/database.py
@@ -1,7 +1,7 @@
 """Opens the store's SQLite file: its schema, migrations and limits.
 
-The schema and the texts in its rows are read as written by every earlier version: a change is a further
-migration.
+The schema and the texts in its rows must stay readable as earlier versions wrote them. A change needs a
+further migration.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 from winchspan.dead_letters.errors import DeadLetterStoreError
 
-APPLICATION_ID: Final = 0x57494E43  # 'WINC': marks the file in SQLite's header
+APPLICATION_ID: Final = 0x57494E43  # 'WINC', identifies the file in SQLite's header
 SCHEMA_VERSION: Final = 2
-FIRST_VERSION_WITH_CHAIN_START: Final = 2  # has the table `trail_start`
+FIRST_VERSION_WITH_CHAIN_START: Final = 2  # added the table `trail_start`
 PAGE_BYTES: Final = 4096
-SLACK_BYTES: Final = 64 * PAGE_BYTES  # of the size limit, for indices and free pages
+SLACK_BYTES: Final = 64 * PAGE_BYTES  # part of the size limit reserved for indices and free pages
 MIN_PAGES: Final = 64
-BUSY_TIMEOUT_SECONDS: Final = 1.0  # how long another process may keep the file locked
-FILE_MODE: Final = 0o600  # bodies are nobody else's business
+BUSY_TIMEOUT_SECONDS: Final = 1.0  # longest wait for a lock that another process holds
+FILE_MODE: Final = 0o600  # only the owner may read the message bodies
 
 _MIGRATIONS: Final[tuple[str, ...]] = (
     """
@@ -60,12 +60,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DatabaseOptions:
-    """How the file is opened.
+    """Options for opening the file.
 
     Attributes:
         max_bytes: size limit of the file.
-        is_durable: a commit waits for the disk, so that it outlasts the machine.
-        is_read_only: the file must exist, and is neither made nor migrated.
+        is_durable: a commit waits for the disk, so that it survives a crash of the machine.
+        is_read_only: the file must exist, and is neither created nor migrated.
     """
 
     max_bytes: int
@@ -81,12 +81,12 @@
 
 
 def open_database(path: Path, options: DatabaseOptions) -> OpenDatabase:
-    """Open a store's file, and make or migrate it unless it is only to be read.
+    """Open a store's file. Unless it is opened read-only, create or migrate it.
 
     Raises:
-        DeadLetterStoreError: if it is missing, no store, or of a later version.
-        sqlite3.Error: if it is damaged, or cannot be read or written.
-        OSError: if its mode cannot be set.
+        DeadLetterStoreError: if the file is missing, is not a store, or has a later version.
+        sqlite3.Error: if the file is damaged, or cannot be read or written.
+        OSError: if the file's mode cannot be set.
     """
     connection = _connect(path, is_read_only=options.is_read_only)
     try:
@@ -118,13 +118,13 @@
 
 
 def _stored_version(connection: sqlite3.Connection, path: Path) -> int:
-    """Return the version of the file's schema, 0 for a new file, after checking that it is a store."""
+    """Check that the file is a store, and return the version of its schema; 0 for a new file."""
     is_new = not _pragma(connection, "SELECT count(*) FROM sqlite_master")
     if not is_new and _pragma(connection, "PRAGMA application_id") != APPLICATION_ID:
-        raise DeadLetterStoreError(f"{path}: not a store of kept messages")
+        raise DeadLetterStoreError(f"{path}: not a store of dead letters")
     version = _pragma(connection, "PRAGMA user_version")
     if version > SCHEMA_VERSION:
-        raise DeadLetterStoreError(f"{path}: of version {version}; this program knows {SCHEMA_VERSION}")
+        raise DeadLetterStoreError(f"{path}: has version {version}; expected at most {SCHEMA_VERSION}")
     return version
 
 
@@ -142,7 +142,7 @@
 
 def _migrate(connection: sqlite3.Connection, version: int) -> None:
     for number in range(version, SCHEMA_VERSION):
-        # One transaction for each step: a crash leaves the version before or the one after.
+        # One transaction per step: a crash leaves the schema before or after the step, nothing in between.
         connection.executescript(
             f"BEGIN IMMEDIATE; {_MIGRATIONS[number]} PRAGMA user_version = {number + 1};"
             f" PRAGMA application_id = {APPLICATION_ID}; COMMIT;"
--- a/winchspan/dead_letters/eviction.py
+++ b/winchspan/dead_letters/eviction.py
@@ -1,4 +1,4 @@
-"""The order in which a full store evicts dead letters: what is safest to lose goes first."""
+"""Ranks dead letters for eviction from a full store: those that are safest to lose are evicted first."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 )
 
 # Ranks are stored in the rows and are part of the names of the counters of evicted messages.
-RANK_CLOSED: Final = 0  # nothing is left to be done
-RANK_RETURNED: Final = 1  # its client was told to submit it again, and mostly has
+RANK_CLOSED: Final = 0  # needs no further action
+RANK_RETURNED: Final = 1  # the client was asked to submit it again, and in most cases has done so
 RANK_FAILED_WITHOUT_EFFECT: Final = 2
 RANK_MAY_HAVE_RUN_WITHOUT_EFFECT: Final = 3
 RANK_FAILED_WITH_EFFECT: Final = 4
-RANK_MAY_HAVE_RUN_WITH_EFFECT: Final = 5  # somebody must find out whether a payment was made
-RANK_REDELIVERING: Final = 6  # never evicted: the end of the redelivery must find it
+RANK_MAY_HAVE_RUN_WITH_EFFECT: Final = 5  # an operator must find out whether, say, a payment was made
+RANK_REDELIVERING: Final = 6  # never evicted: the outcome of the redelivery updates its row
 
 
 def eviction_rank(dead_letter: DeadLetter, *, has_effect: bool) -> int:
-    """Return the eviction rank: the lowest is evicted first, and within a rank the oldest.
+    """Return the eviction rank. The lowest rank is evicted first, and within a rank the oldest message.
 
     Args:
         dead_letter: the message.
--- a/winchspan/dead_letters/evidence.py
+++ b/winchspan/dead_letters/evidence.py
@@ -1,6 +1,6 @@
-"""What can be proved of a message: why it ended, whether it was executed, and whether a repeat is safe.
+"""Derives the failure reason of a message, the evidence of its execution, and whether a repeat is safe.
 
-The texts are stored with the messages and shown to operators.
+The texts are stored with the messages and shown to operators: they must not change.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
     ExecutionEvidence,
 )
 
-REPEAT_TRANSIT_MS: Final = 150.0  # that a repeat may take on its way to its destination
-STILL_IN_FLIGHT: Final = "still out"  # outcome of an attempt that had not ended
+REPEAT_TRANSIT_MS: Final = 150.0  # longest transit of a repeat to its destination
+STILL_IN_FLIGHT: Final = "still out"  # outcome of an attempt in flight when the message ended
 
 
 @dataclass(frozen=True, slots=True)
 class FailureContext:
-    """What is known of a message at the time when the scheduler gives it up; times in Unix ms.
+    """The state of a message when the scheduler abandons it; times in Unix ms.
 
     Attributes:
-        now_ms: that time.
-        deadline_ms: by when its final answer was due.
+        now_ms: time at which the scheduler abandons it.
+        deadline_ms: time by which its final answer is due.
         attempt_count: attempts so far.
-        max_attempts: attempts that a message may have.
+        max_attempts: maximum number of attempts for a message.
         first_run_ms: start of the first attempt that may have executed it, if any.
         message_class: its class.
-        grace_ms: how near to its deadline a message counts as out of time.
+        grace_ms: time before the deadline from which a message counts as out of time.
     """
 
     now_ms: float
@@ -44,24 +44,26 @@
 
 
 class ExecutionFinding(NamedTuple):
-    """Whether a message was executed, and the evidence for people."""
+    """Whether a message was executed, and the evidence as a text for operators."""
 
     evidence: ExecutionEvidence
     text: str
 
 
-def failure_reason(end: FailureContext) -> str:
-    """Return why the scheduler gave a message up, derived from what is known of it."""
-    if end.deadline_ms - end.now_ms <= end.grace_ms:
-        return "out of time" if end.attempt_count else "out of time, never sent"
-    if end.attempt_count >= end.max_attempts:
+def failure_reason(context: FailureContext) -> str:
+    """Return why the scheduler abandoned a message."""
+    if context.deadline_ms - context.now_ms <= context.grace_ms:
+        return "out of time" if context.attempt_count else "out of time, never sent"
+    if context.attempt_count >= context.max_attempts:
         return "all attempts used"
-    if end.first_run_ms is None:
+    if context.first_run_ms is None:
         return "no room"
-    effect = end.message_class.effect
+    effect = context.message_class.effect
     if effect is Effect.ONCE:
         return "may have run, and must not run twice"
-    if effect is Effect.KEYED and end.now_ms >= end.first_run_ms + _safe_repeat_window_ms(end.message_class):
+    if effect is Effect.KEYED and context.now_ms >= context.first_run_ms + _safe_repeat_window_ms(
+        context.message_class
+    ):
         return "may have run, and repeats are no longer dropped"
     return "no room"
 
@@ -73,20 +75,20 @@
 
     Args:
         attempts: its recorded attempts.
-        unrecorded_attempt_count: further attempts before a restart.
+        unrecorded_attempt_count: further attempts, made before a restart.
         first_run_ms: start of the first attempt that may have executed it, if any.
     """
     if attempts and attempts[-1].outcome == STILL_IN_FLIGHT:
         text = f"a call to {attempts[-1].endpoint} was still out: it may have run, or may yet"
         return ExecutionFinding(ExecutionEvidence.MAY_HAVE_RUN, text)
     if first_run_ms is not None:
-        return ExecutionFinding(ExecutionEvidence.MAY_HAVE_RUN, _doubt_text(attempts))
+        return ExecutionFinding(ExecutionEvidence.MAY_HAVE_RUN, _possible_execution_text(attempts))
     return ExecutionFinding(
         ExecutionEvidence.NEVER_RAN, _no_execution_text(attempts, unrecorded_attempt_count)
     )
 
 
-def _doubt_text(attempts: tuple[AttemptHistory, ...]) -> str:
+def _possible_execution_text(attempts: tuple[AttemptHistory, ...]) -> str:
     for attempt in attempts:
         if not attempt.proves_no_execution:
             return f"{attempt.outcome} at {attempt.endpoint}: it may have run, or may yet"
@@ -105,12 +107,15 @@
 def redelivery_objection(now_ms: float, dead_letter: DeadLetter, message_class: MessageClass) -> str | None:
     """Return why a message must not be redelivered now; None if a repeat has no second effect.
 
-    This guards against second effects, whatever rules and operators say. What was executed is never
-    redelivered. What may have been executed is redelivered only where a repeat has no effect: always for an
-    idempotent class, within the deduplication window for one with idempotency keys, or after an operator has
-    confirmed that it was not executed. A clock that was set back proves nothing. Nor is it proof that the
-    message was not executed here if its client was told to submit it again: it may have been executed
-    elsewhere since.
+    Guards against a second effect, whatever the rules and the operators allow:
+
+    - A message that was executed is never redelivered.
+    - A message that may have been executed is redelivered only where a repeat has no effect: always in an
+      idempotent class, within the deduplication window in a class with idempotency keys, or after an operator
+      has confirmed that it was not executed.
+    - A clock that was set back proves nothing about the deduplication window.
+    - A message whose client was asked to submit it again may have been executed elsewhere since, even if it
+      was not executed here.
 
     Args:
         now_ms: the time, in Unix ms.
@@ -139,5 +144,5 @@
 
 
 def _safe_repeat_window_ms(message_class: MessageClass) -> float:
-    """Return how long after the first execution a repeat may start, to arrive while it is still dropped."""
+    """Return how long after the first execution a repeat can start and still be deduplicated on arrival."""
     return message_class.dedup_ns / 1e6 - 2 * REPEAT_TRANSIT_MS
--- a/winchspan/dead_letters/filters.py
+++ b/winchspan/dead_letters/filters.py
@@ -18,20 +18,20 @@
 
 @dataclass(frozen=True, slots=True)
 class DeadLetterFilter:
-    """Which dead letters are meant; None matches any.
+    """Criteria that a dead letter must meet; None matches any.
 
     Attributes:
-        class_name: of this message class.
-        destination: for this destination.
-        final_state: with this final answer.
-        reason: that ended for this reason.
-        execution_evidence: with this evidence.
-        state: in this state.
-        key: of this ordering key.
-        idempotency_key: with this idempotency key.
-        id: with this message identifier.
-        since_unix_ms: that ended at this time or later.
-        until_unix_ms: that ended before this time.
+        class_name: message class.
+        destination: number of the destination.
+        final_state: final answer.
+        reason: reason of the failure history.
+        execution_evidence: evidence of an execution.
+        state: state in the store.
+        key: ordering key.
+        idempotency_key: idempotency key.
+        id: message identifier.
+        since_unix_ms: the message ended at this time or later.
+        until_unix_ms: the message ended before this time.
     """
 
     class_name: str | None = None
@@ -47,7 +47,7 @@
     until_unix_ms: float | None = None
 
     def condition(self) -> SqlCondition:
-        """Return the filter as a condition on the store's rows."""
+        """Return the filter as a SQL condition on the store's rows."""
         evidence, state = self.execution_evidence, self.state
         conditions: dict[str, SqlValue] = {
             "cls = ?": self.class_name,
--- a/winchspan/dead_letters/journal_entries.py
+++ b/winchspan/dead_letters/journal_entries.py
@@ -1,4 +1,4 @@
-"""Makes dead letters and failure histories of the journal's entries."""
+"""Converts journal entries to dead letters and failure histories."""
 
 from __future__ import annotations
 
@@ -21,31 +21,31 @@
 from winchspan.runtime.clock import Clock
 from winchspan.storage.journal_records import JournalEntry
 
-# A message counts as out of time within two steps of the scheduler and this before its deadline.
+# Added to two steps of the scheduler: a message counts as out of time this long before its deadline.
 DEADLINE_GRACE_MS = 50.0
 
 
 class JournalEntryConverter:
-    """Makes dead letters and failure histories of journal entries, under the settings in force."""
+    """Converts journal entries under the current platform settings."""
 
     def __init__(self, settings: api.Settings, clock: Clock) -> None:
         self.settings = settings
         self._clock = clock
 
     def has_effect(self, class_name: str) -> bool:
-        """Return whether a second delivery of a class has an effect; of an unknown class it may have."""
+        """Return whether a second delivery of a class has an effect; true for an unknown class."""
         message_class = self.settings.classes.get(class_name)
         return message_class is None or message_class.effect is not api.Effect.REPEATABLE
 
     def failure_history(
         self, entry: JournalEntry, attempts: list[AttemptRecord], destination_state: Mapping[str, object]
     ) -> FailureHistory:
-        """Return why a message ends now.
+        """Return the failure history of a message that the scheduler abandons now.
 
         Args:
             entry: the message.
-            attempts: its attempts since the courier was started.
-            destination_state: what the scheduler knows of its destination, under the encoded names.
+            attempts: its attempts since the start of the courier.
+            destination_state: the scheduler's state of the destination, under the encoded names.
         """
         return FailureHistory(
             reason=failure_reason(self._failure_context(entry)),
@@ -63,7 +63,7 @@
             attempt_count=entry.attempt_count,
             max_attempts=self.settings.max_attempts,
             first_run_ms=entry.first_executed_at_ms,
-            # A class that is gone counts as the safest kind.
+            # A class that is no longer configured counts as the most restrictive one.
             message_class=known_class or api.MessageClass(entry.class_name),
             grace_ms=2 * self.settings.step_ns / 1e6 + DEADLINE_GRACE_MS,
         )
@@ -83,7 +83,7 @@
             key=entry.key,
             idempotency_key=entry.idempotency_key,
             body=entry.body,
-            final_state=entry.owed_notification or STATE_FAILED,
+            final_state=entry.pending_notification or STATE_FAILED,
             failure_history=history,
             execution_evidence=finding.evidence,
             evidence_text=finding.text,
@@ -100,13 +100,13 @@
         return history.attempts[-1].started_unix_ms if history.attempts else history.ended_unix_ms
 
     def wall_clock_ms(self, persistent_unix_ms: float | None) -> float | None:
-        """Return a time of the journal's as the wall clock has it now: the store outlasts reboots."""
+        """Convert a journal time to the current wall clock, because the store outlives reboots."""
         if persistent_unix_ms is None:
             return None
         return persistent_unix_ms + self._clock.wall_clock_skew_ms
 
     def recorded_history(self, entry: JournalEntry, fields: Mapping[str, object] | None) -> FailureHistory:
-        """Return a failure history from its fields in the journal; without one it says that there is none."""
+        """Decode a failure history of the journal; return a placeholder if it is missing or invalid."""
         try:
             if fields is not None:
                 return failure_history_from_json(fields)
--- a/winchspan/dead_letters/operator_actions.py
+++ b/winchspan/dead_letters/operator_actions.py
@@ -1,7 +1,8 @@
 """Operators' actions on dead letters, each written to the audit log.
 
-Nothing here sends anything, and nothing overrides `evidence.redelivery_objection`: redelivery treats an
-approval like a rule. Each action names its operator; what changes the evidence names the reason, too.
+The actions change the store only. They send no message, and none overrides `evidence.redelivery_objection`:
+redelivery treats an approval like a rule. Each action names its operator. An action that changes the evidence
+also names its reason.
 """
 
 from __future__ import annotations
@@ -25,15 +26,15 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorAction:
-    """What an action does to a message.
+    """A planned change of one message.
 
     Attributes:
         number: the message's number.
-        expected: the state that it must be in.
+        expected: the state that the message must be in.
         action: the action's name in the audit log.
-        detail: its detail there.
-        new_state: the state that the message gets.
-        changes: further fields that change.
+        detail: the detail in the audit log.
+        new_state: the state after the action.
+        changes: further fields to change.
     """
 
     number: int
@@ -44,15 +45,15 @@
     changes: DeadLetterChanges
 
     def apply(self, store: DeadLetterStore, operator: str, now_ms: float) -> None:
-        """Carry the action out, and log it.
+        """Apply the action to the store, and log it.
 
         Args:
-            store: where the message is.
-            operator: who does it.
-            now_ms: the time, in Unix ms.
+            store: holds the message.
+            operator: name of the operator.
+            now_ms: the current time, in Unix ms.
 
         Raises:
-            OperatorActionError: if the message was changed in the meantime.
+            OperatorActionError: if another change came first.
         """
         audited = AuditedAction(now_ms, operator, self.action, self.detail)
         changes = DeadLetterChanges(**self.changes, state=self.new_state)
@@ -74,7 +75,7 @@
 
 
 def hold(store: DeadLetterStore, number: int, reason: str) -> OperatorAction:
-    """Exempt a message from all rules."""
+    """Exempt a message from all redelivery rules."""
     dead_letter = _open_dead_letter(store, number)
     reason = _checked_reason(reason)
     return OperatorAction(
@@ -109,7 +110,7 @@
 
 
 def drop(store: DeadLetterStore, number: int, reason: str) -> OperatorAction:
-    """Give a message up; it stays readable until its room is needed."""
+    """Close a message without redelivery; it stays readable until it is evicted."""
     dead_letter = _open_dead_letter(store, number)
     reason = _checked_reason(reason)
     return OperatorAction(
@@ -118,9 +119,10 @@
 
 
 def prepare_import(dead_letter: DeadLetter, source: str) -> DeadLetter:
-    """Return a message of another store as it is stored here.
+    """Return an exported message of another store in the form in which this store keeps it.
 
-    It is on hold unless it is closed, and the evidence that it was not executed is no better than there.
+    An open message is put on hold. A message that was being redelivered when it was exported may have been
+    executed since.
     """
     evidence = dead_letter.execution_evidence
     text = dead_letter.evidence_text
--- a/winchspan/dead_letters/partner_reports.py
+++ b/winchspan/dead_letters/partner_reports.py
@@ -1,4 +1,4 @@
-"""Evidence from a partner's report of which messages it has executed."""
+"""Turns a partner's report of executed messages into evidence on dead letters."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 )
 from winchspan.dead_letters.store import DeadLetterStore
 
-REPORT_ACTION: Final = "report"  # in the audit log
+REPORT_ACTION: Final = "report"  # name of the action in the audit log
 EXECUTED: Final = "ran"  # second word of a line; the default
 NOT_EXECUTED: Final = "never"
-COMMENT: Final = "#"
+COMMENT_MARK: Final = "#"
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,37 +38,40 @@
 
 
 def parse_report(lines: Iterable[str]) -> list[ReportLine]:
-    """Parse a report: an identifier a line, followed by `ran` (the default) or `never`; `#` begins a comment.
+    """Parse a report.
+
+    A line holds an identifier, followed by `ran` (the default) or `never`. `#` starts a comment.
 
     Raises:
-        OperatorActionError: if a line is something else.
+        OperatorActionError: if a line has another form.
     """
     report = []
     for number, line in enumerate(lines, 1):
-        words = line.split(COMMENT)[0].split()
+        words = line.split(COMMENT_MARK)[0].split()
         if not words:
             continue
-        identifier, *verdict = words
-        if verdict not in ([], [EXECUTED], [NOT_EXECUTED]):
+        identifier, *status_words = words
+        if status_words not in ([], [EXECUTED], [NOT_EXECUTED]):
             raise OperatorActionError(
                 f"line {number}: expected a name, and ran or never, not {line.strip()!r:.60}"
             )
-        report.append(ReportLine(identifier, verdict != [NOT_EXECUTED]))
+        report.append(ReportLine(identifier, status_words != [NOT_EXECUTED]))
     return report
 
 
 def actions_for_report(
     store: DeadLetterStore, report: Iterable[ReportLine], source: str
 ) -> list[OperatorAction]:
-    """Return what a report proves of messages that may have been executed, or are not known to have been.
+    """Return the actions that record what a report proves.
 
-    It changes nothing of those that are closed or being redelivered: what one report says was executed, no
-    later one takes back.
+    A report of an execution applies to every open message, a report of no execution only to messages that may
+    have been executed. Closed messages and messages being redelivered stay unchanged, so no later report can
+    revoke a reported execution.
 
     Args:
-        store: the messages.
-        report: the report.
-        source: its name, for the audit log.
+        store: holds the messages.
+        report: the lines of the report.
+        source: the report's name, for the audit log.
     """
     actions: list[OperatorAction] = []
     for line in report:
--- a/winchspan/dead_letters/policy.py
+++ b/winchspan/dead_letters/policy.py
@@ -1,6 +1,6 @@
-"""The operator's rules for redelivery: which dead letters, when, how often, and with whose approval.
+"""The operator's redelivery rules: which dead letters, when, how often, and whether an operator approves.
 
-A rule can only allow: `evidence.redelivery_objection` has the last word.
+Rules can only allow a redelivery: `evidence.redelivery_objection` overrides them.
 """
 
 from __future__ import annotations
@@ -18,28 +18,28 @@
 HOURS_PER_DAY: Final = 24.0
 DAY_MS: Final = HOURS_PER_DAY * HOUR_MS
 MAX_BACKOFF_MS: Final = 6 * HOUR_MS
-POLL_INTERVAL_MS: Final = 500.0  # between two rounds of redelivery
+POLL_INTERVAL_MS: Final = 500.0  # delay between two redelivery rounds
 
 
 class RedeliveryAction(Enum):
-    """What a decision comes to; the values are part of the control commands' replies."""
+    """The action of a decision; the values are part of the control commands' replies."""
 
     SEND = "send"
-    WAIT = "wait"  # until a time
+    WAIT = "wait"  # decide again at a given time
     AWAIT_APPROVAL = "ask"  # an operator must approve
-    HOLD = "hold"  # not before there is proof
-    SKIP = "leave"  # no rule applies
+    HOLD = "hold"  # a redelivery might have a second effect
+    SKIP = "leave"  # no rule redelivers it
 
 
 @dataclass(frozen=True, slots=True)
 class RedeliveryDecision:
-    """What is done with a dead letter now.
+    """The decision about one dead letter.
 
     Attributes:
-        action: what is done.
+        action: the action to take.
         next_check_unix_ms: when to decide again.
-        reason: why, for people.
-        rule_name: the rule that applies; empty if none does.
+        reason: the reason, shown to operators.
+        rule_name: name of the rule that applies; empty if none does.
     """
 
     action: RedeliveryAction
@@ -53,18 +53,18 @@
     """One rule of the operator's file; an empty tuple matches anything.
 
     Attributes:
-        name: its name in the file.
-        class_names: message classes that it applies to.
-        destinations: numbers of destinations.
-        final_states: final answers that were given.
-        reasons: reasons of `evidence.failure_reason`.
-        evidence: whether the messages were executed.
-        min_age_ms: time since the message's end before the first redelivery.
-        max_age_ms: time since the message's end after which it is left alone.
-        rate: redeliveries per second by this rule.
-        hours_utc: first and last hour of the day in which it applies, in UTC; may cross midnight.
-        max_redeliveries: redeliveries of one message.
-        backoff_ms: pause between two redeliveries of a message, doubled each time.
+        name: the rule's name in the file.
+        class_names: names of the message classes.
+        destinations: numbers of the destinations.
+        final_states: final answers of the messages.
+        reasons: failure reasons, as returned by `evidence.failure_reason`.
+        evidence: evidence of an execution.
+        min_age_ms: minimum time from the end of a message to its first redelivery.
+        max_age_ms: time from the end of a message after which it is not redelivered.
+        rate: maximum redeliveries per second by this rule.
+        hours_utc: first and last hour of the day in which the rule applies, in UTC; may cross midnight.
+        max_redeliveries: maximum number of redeliveries of one message.
+        backoff_ms: delay between two redeliveries of a message, doubled after each.
         needs_approval: an operator must approve each redelivery.
     """
 
@@ -93,7 +93,7 @@
         )
 
     def next_open_unix_ms(self, now_ms: float) -> float:
-        """Return `now_ms` if it is within the rule's hours, else when they begin next."""
+        """Return `now_ms` if it is within the rule's hours, or else the next time at which they begin."""
         first, last = self.hours_utc
         hour = now_ms % DAY_MS / HOUR_MS
         if first == last:
@@ -104,7 +104,7 @@
         return now_ms + ((first - hour) % HOURS_PER_DAY) * HOUR_MS
 
     def decide(self, now_ms: float, dead_letter: DeadLetter) -> RedeliveryDecision:
-        """Return what this rule does with a message that it matches and that is safe to redeliver."""
+        """Return the decision for a message that this rule matches and that is safe to redeliver."""
         is_approved = dead_letter.is_approved
         redelivery_count = dead_letter.redelivery_count
         if redelivery_count >= self.max_redeliveries and not is_approved:
@@ -132,10 +132,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RedeliveryPolicy:
-    """Decides about redeliveries from the operator's rules and the platform's classes.
+    """Decides on redeliveries, given the operator's rules and the platform's message classes.
 
     Attributes:
-        rules: in the order of the operator's file; the first that matches applies.
+        rules: the rules, in the order of the operator's file; the first match applies.
         classes: the message classes by name.
     """
 
@@ -143,14 +143,16 @@
     classes: Mapping[str, MessageClass]
 
     def rule_named(self, name: str) -> RedeliveryRule | None:
-        """Return the rule of a name, if there is one."""
+        """Return the rule with a name, or None."""
         return next((rule for rule in self.rules if rule.name == name), None)
 
     def decide(self, now_ms: float, dead_letter: DeadLetter) -> RedeliveryDecision:
-        """Return what is done with a message now, in Unix ms."""
+        """Return the decision for a message at a time in Unix ms."""
         state = dead_letter.state
-        is_signed = dead_letter.is_released or dead_letter.is_approved
-        if state is not DeadLetterState.PENDING and not (state is DeadLetterState.ON_HOLD and is_signed):
+        has_operator_consent = dead_letter.is_released or dead_letter.is_approved
+        if state is not DeadLetterState.PENDING and not (
+            state is DeadLetterState.ON_HOLD and has_operator_consent
+        ):
             return RedeliveryDecision(RedeliveryAction.SKIP, now_ms, f"it is {state.value}")
         message_class = self.classes.get(dead_letter.class_name)
         if message_class is None:
@@ -168,32 +170,32 @@
 
 
 class RedeliveryRateLimiter:
-    """Limits each rule to its rate; at most what falls between two rounds is saved up."""
+    """Limits each rule to its rate; unused sends accumulate over one round at most."""
 
     def __init__(self) -> None:
         self._next_unix_ms: dict[str, float] = {}
 
     def may_send(self, now_ms: float, rule: RedeliveryRule) -> bool:
-        """Return whether the rule may redeliver now; a clock that was set back stops it one round at most."""
-        gap_ms = 1_000.0 / rule.rate
+        """Return whether the rule may redeliver now; a clock set back delays it by one round at most."""
+        interval_ms = 1_000.0 / rule.rate
         next_unix_ms = self._next_unix_ms.get(rule.name, 0.0)
-        return now_ms >= next_unix_ms or next_unix_ms - now_ms > gap_ms + POLL_INTERVAL_MS
+        return now_ms >= next_unix_ms or next_unix_ms - now_ms > interval_ms + POLL_INTERVAL_MS
 
     def next_send_unix_ms(self, now_ms: float, rule: RedeliveryRule) -> float:
-        """Return when a rule that may not redeliver now is to be asked again: in the next round or later."""
+        """Return when to check a rate-limited rule again: in the next round or later."""
         return max(now_ms + POLL_INTERVAL_MS, self._next_unix_ms.get(rule.name, 0.0))
 
     def is_selection_valid(self) -> bool:
-        """Return whether what was selected may still be redelivered."""
+        """Return whether the selected messages may still be redelivered."""
         return True
 
     def complete_round(self) -> None:
-        """Note that a round is over."""
+        """Record the end of a round."""
 
     def record_sent(self, now_ms: float, rule: RedeliveryRule) -> None:
-        """Count one redelivery of a rule."""
-        gap_ms = 1_000.0 / rule.rate
-        earliest_ms = now_ms - max(0.0, POLL_INTERVAL_MS - gap_ms)
+        """Count one redelivery against the rate of its rule."""
+        interval_ms = 1_000.0 / rule.rate
+        earliest_ms = now_ms - max(0.0, POLL_INTERVAL_MS - interval_ms)
         previous_ms = self._next_unix_ms.get(rule.name, 0.0)
         is_recent = earliest_ms < previous_ms <= now_ms
-        self._next_unix_ms[rule.name] = (previous_ms if is_recent else earliest_ms) + gap_ms
+        self._next_unix_ms[rule.name] = (previous_ms if is_recent else earliest_ms) + interval_ms
--- a/winchspan/dead_letters/queries.py
+++ b/winchspan/dead_letters/queries.py
@@ -1,4 +1,4 @@
-"""Commands on dead letters with JSON results: the same over the control socket and on the store's file."""
+"""Commands on dead letters with JSON results, used over the control socket and on the store's file alike."""
 
 from __future__ import annotations
 
@@ -26,12 +26,19 @@
 from winchspan.dead_letters.records import DeadLetter
 from winchspan.dead_letters.store import DeadLetterStore
 
-MAX_MESSAGES_PER_PAGE: Final = 500  # without bodies
-MAX_BODIES_PER_PAGE: Final = 8  # so that a page fits into a frame of the control protocol
+MAX_MESSAGES_PER_PAGE: Final = 500  # for pages without bodies
+MAX_BODIES_PER_PAGE: Final = 8  # keeps a page within one frame of the control protocol
 MAX_OPERATOR_LENGTH: Final = 100  # characters
-MAX_SOURCE_LENGTH: Final = 200  # characters of the name of a file, in the audit log
+MAX_SOURCE_LENGTH: Final = 200  # characters of a file name in the audit log
 DEFAULT_REPORT_SOURCE: Final = "a report"
-_AUDIT_FIELD_NAMES: Final = ("seq", "at", "who", "action", "number", "detail")  # of `AuditEntry`, as JSON
+_AUDIT_FIELD_NAMES: Final = (
+    "seq",
+    "at",
+    "who",
+    "action",
+    "number",
+    "detail",
+)  # JSON keys of the `AuditEntry` fields
 _OPERATOR_ACTIONS: Final = ("resend", "hold", "release", "drop")
 _REPORT: Final = "report"
 
@@ -40,12 +47,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryEnvironment:
-    """What a query works with.
+    """The dependencies of a query.
 
     Attributes:
-        store: the messages.
-        now_ms: the time, in Unix ms.
-        policy: decides about redeliveries; None where the operator's rules are not known.
+        store: holds the messages.
+        now_ms: the current time, in Unix ms.
+        policy: decides on redeliveries; None where the operator's rules are not available.
     """
 
     store: DeadLetterStore
@@ -55,12 +62,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Query(Generic[ArgumentsT]):
-    """One command.
+    """Definition of one query.
 
     Attributes:
-        arguments: the type of its arguments.
-        execute: returns its result as JSON.
-        is_read_only: it never changes the store.
+        arguments: type of the query's arguments.
+        execute: executes the query, and returns its result as JSON.
+        is_read_only: the query never changes the store.
     """
 
     arguments: type[ArgumentsT]
@@ -72,7 +79,7 @@
     """Return the checked arguments of a query.
 
     Raises:
-        OperatorActionError: if one is wrong; the message names it.
+        OperatorActionError: if an argument is invalid; the message names it.
     """
     try:
         checked: msgspec.Struct = msgspec.convert(dict(arguments), _QUERIES[name].arguments)
@@ -82,20 +89,20 @@
 
 
 def is_read_only(name: str, arguments: Mapping[str, object]) -> bool:
-    """Return whether a query changes nothing."""
+    """Return whether a query leaves the store unchanged."""
     return _QUERIES[name].is_read_only or bool(arguments.get("dry_run"))
 
 
 def execute(name: str, arguments: msgspec.Struct, environment: QueryEnvironment) -> object:
-    """Carry a query out, and return its result as JSON.
+    """Execute a query, and return its result as JSON.
 
     Args:
         name: one of `QUERY_NAMES`.
-        arguments: what `parse_arguments` has returned.
-        environment: what it works with.
+        arguments: the result of `parse_arguments`.
+        environment: the query's dependencies.
 
     Raises:
-        OperatorActionError: if it cannot be carried out.
+        OperatorActionError: if the query cannot be executed.
         DeadLetterStoreError: if the store cannot be used.
     """
     return _QUERIES[name].execute(environment, arguments)
@@ -103,7 +110,7 @@
 
 # ---- reading ---------------------------------------------------------------------------------------------
 def _to_json(dead_letter: DeadLetter, *, with_body: bool) -> JsonObject:
-    """Return a message with its key in hexadecimal digits, and its body in Base64 or only its size."""
+    """Return a message with its key in hexadecimal digits, and its body in Base64 or only the body size."""
     encoded = dead_letter_to_json(dead_letter)
     encoded["key"] = None if dead_letter.key is None else f"{dead_letter.key:x}"
     encoded["body_bytes"] = len(dead_letter.body)
@@ -126,7 +133,7 @@
 
 
 def _why(environment: QueryEnvironment, arguments: MessageArguments) -> JsonObject:
-    """Return a message, and what the rules would do with it now, where they are known."""
+    """Return a message, with the current decision of the rules where they are available."""
     dead_letter = operator_actions.stored_dead_letter(environment.store, arguments.number)
     encoded = _to_json(dead_letter, with_body=False)
     if environment.policy is not None:
@@ -156,17 +163,17 @@
 
 # ---- changing --------------------------------------------------------------------------------------------
 def _import(environment: QueryEnvironment, arguments: ImportArguments) -> list[JsonObject]:
-    """Store messages that another store has exported; those that are stored already stay as they are."""
+    """Store the messages of an export; messages that are stored already stay unchanged."""
     _check_names(arguments.operator, arguments.source)
     store = environment.store
     found = [
         operator_actions.prepare_import(_imported_message(fields, number, arguments.source), arguments.source)
         for number, fields in enumerate(arguments.messages, 1)
     ]
-    new = [one for one in found if not store.contains(one.id, one.deadline_unix_ms)]
+    new = [each for each in found if not store.contains(each.id, each.deadline_unix_ms)]
     if new and not arguments.is_dry_run:
         store.add(new, environment.now_ms, arguments.operator, arguments.source)
-    return [{"id": one.id, "state": one.state.value} for one in new]
+    return [{"id": each.id, "state": each.state.value} for each in new]
 
 
 def _imported_message(fields: JsonObject, number: int, source: str) -> DeadLetter:
@@ -180,7 +187,7 @@
 
 
 def _act(environment: QueryEnvironment, arguments: ActionArguments) -> list[JsonObject]:
-    """Carry an action out on some messages, up to the first on which it cannot be."""
+    """Apply an action to messages, up to the first one to which it cannot be applied."""
     _check_names(arguments.operator, arguments.source)
     planned = _planned_actions(environment.store, arguments)
     if not arguments.is_dry_run:
--- a/winchspan/dead_letters/query_arguments.py
+++ b/winchspan/dead_letters/query_arguments.py
@@ -1,6 +1,6 @@
-"""Arguments of the commands on dead letters, as the control socket and the command line give them.
+"""Arguments of the commands on dead letters, for the control socket and the command line.
 
-The encoded names (`name=`) are part of the control protocol, and stay as they are. Times are Unix ms.
+The encoded names (`name=`) are part of the control protocol and must not change. Times are Unix ms.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class FilterArguments(Struct, forbid_unknown_fields=True):
-    """A `DeadLetterFilter`; the key is in hexadecimal digits."""
+    """Arguments that form a `DeadLetterFilter`; the key is given in hexadecimal digits."""
 
     class_name: str | None = field(default=None, name="cls")
     destination: int | None = field(default=None, name="dest")
@@ -64,10 +64,10 @@
     """Arguments of `list`.
 
     Attributes:
-        filter: which messages.
-        limit: messages of a page.
-        after: the number that ended the page before; 0 for the first page.
-        is_oldest_first: the order, by number.
+        filter: selects the messages.
+        limit: maximum number of messages in a page.
+        after: last message number of the previous page; 0 for the first page.
+        is_oldest_first: order by ascending number.
         with_bodies: include bodies, in Base64.
     """
 
@@ -88,10 +88,10 @@
     """Arguments of `import`.
 
     Attributes:
-        operator: who imports.
-        messages: as `list` gives them with bodies.
-        source: where they come from, for the audit log.
-        is_dry_run: change nothing.
+        operator: name of the operator.
+        messages: the messages, as `list` returns them with bodies.
+        source: name of their origin, for the audit log.
+        is_dry_run: report the result without changing the store.
     """
 
     operator: str = field(name="who")
@@ -104,8 +104,8 @@
     """Arguments of `trail`.
 
     Attributes:
-        after: the number of the entry that ended the page before; 0 for the first page.
-        limit: entries of a page.
+        after: last entry number of the previous page; 0 for the first page.
+        limit: maximum number of entries in a page.
     """
 
     after: int = 0
@@ -113,7 +113,7 @@
 
 
 class NoArguments(Struct, forbid_unknown_fields=True):
-    """Arguments of `stats`: there are none."""
+    """Arguments of `stats`, which takes none."""
 
 
 class ActionArguments(Struct, forbid_unknown_fields=True):
@@ -121,12 +121,12 @@
 
     Attributes:
         action: `resend`, `hold`, `release`, `drop` or `report`.
-        operator: who does it.
-        numbers: the messages; unused by `report`.
-        reason: why, where the action needs a reason.
-        report_lines: a partner's report, for `report`.
-        source: the report's name.
-        is_dry_run: change nothing.
+        operator: name of the operator.
+        numbers: numbers of the messages; unused by `report`.
+        reason: the operator's reason, where the action needs one.
+        report_lines: lines of a partner's report, for `report`.
+        source: name of the report, for `report`.
+        is_dry_run: report the result without changing the store.
     """
 
     action: str
--- a/winchspan/dead_letters/record_codec.py
+++ b/winchspan/dead_letters/record_codec.py
@@ -1,7 +1,7 @@
 """Encodes dead letters and failure histories as JSON.
 
-The field names here are those of the journal, the store's rows, exports and the control commands. They are
-read as written by every earlier version, and stay as they are.
+The field names of the encoded types are those of the journal, the store's rows, exports and the control
+commands. They must not change, because data of every earlier version has to be readable.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     FailureHistory,
 )
 
-JsonObject = dict[str, Any]  # as JSON has it: text, numbers, lists and objects by name
+JsonObject = dict[str, Any]  # a JSON object
 
 
 class _EncodedAttempt(msgspec.Struct):
@@ -71,54 +71,54 @@
 
 
 def destination_snapshot(fields: Mapping[str, object]) -> DestinationSnapshot:
-    """Return the state of a destination whose fields are given under their encoded names.
+    """Return the snapshot of a destination from fields under their encoded names.
 
     Raises:
-        msgspec.ValidationError: if a field has another type.
+        msgspec.ValidationError: if a field has the wrong type.
     """
     return _decoded_destination(msgspec.convert(fields, _EncodedDestination))
 
 
 def failure_history_to_json(history: FailureHistory) -> JsonObject:
-    """Return a failure history as the journal's records have it."""
+    """Encode a failure history for a journal record."""
     encoded: JsonObject = msgspec.to_builtins(_encoded_history(history))
     return encoded
 
 
 def failure_history_from_json(fields: Mapping[str, object]) -> FailureHistory:
-    """Return a failure history of a journal's record.
+    """Decode a failure history of a journal record.
 
     Raises:
-        msgspec.ValidationError: if it is not one.
+        msgspec.ValidationError: if the fields are not a failure history.
     """
     return _decoded_history(msgspec.convert(fields, _EncodedHistory))
 
 
 def encode_failure_history(history: FailureHistory) -> bytes:
-    """Return a failure history as the store's rows have it."""
+    """Encode a failure history for a row of the store."""
     return msgspec.json.encode(_encoded_history(history))
 
 
 def decode_failure_history(data: bytes) -> FailureHistory:
-    """Return a failure history of the store's rows.
+    """Decode a failure history of a row of the store.
 
     Raises:
-        msgspec.MsgspecError: if it is not one.
+        msgspec.MsgspecError: if the data is not a failure history.
     """
     return _decoded_history(msgspec.json.decode(data, type=_EncodedHistory))
 
 
 def dead_letter_to_json(dead_letter: DeadLetter) -> JsonObject:
-    """Return a dead letter as exports have it, but for the key, which is a number here."""
+    """Encode a dead letter as in exports, except for the key, which is a number here."""
     encoded: JsonObject = msgspec.to_builtins(_encoded_dead_letter(dead_letter))
     return encoded
 
 
 def dead_letter_from_json(fields: Mapping[str, object]) -> DeadLetter:
-    """Return a dead letter of an export; its key is a number here.
+    """Decode a dead letter of an export; its key is a number here.
 
     Raises:
-        msgspec.MsgspecError: if it is not one.
+        msgspec.MsgspecError: if the fields are not a dead letter.
     """
     encoded = msgspec.json.decode(msgspec.json.encode(fields), type=_EncodedDeadLetter)
     return DeadLetter(
--- a/winchspan/dead_letters/records.py
+++ b/winchspan/dead_letters/records.py
@@ -1,7 +1,7 @@
 """Records of messages that ended undelivered.
 
-Times are Unix milliseconds. `record_codec` maps the fields to the names that the journal, the store and the
-control commands have for them.
+Times are Unix milliseconds. `record_codec` maps the fields to their names in the journal, the store and the
+control commands.
 """
 
 from __future__ import annotations
@@ -10,30 +10,30 @@
 from enum import Enum
 from typing import Final, TypedDict
 
-FINAL_STATE_RETURNED: Final = "returned"  # the client was told to submit the message again
-RECORD_OVERHEAD_BYTES: Final = 400  # about what a record takes besides its body and its attempts
-ATTEMPT_BYTES: Final = 120  # about what one attempt takes
+FINAL_STATE_RETURNED: Final = "returned"  # the client was asked to submit the message again
+RECORD_OVERHEAD_BYTES: Final = 400  # approximate size of a record without its body and its attempts
+ATTEMPT_BYTES: Final = 120  # approximate size of one attempt
 
 _OUTCOMES_THAT_PROVE_NO_EXECUTION: Final = ("full", "connect_failed", "not_sent")
 
 
 class ExecutionEvidence(Enum):
-    """Whether a message has taken effect at its destination, as far as can be proved."""
+    """Whether a message was executed at its destination, as far as the attempts prove it."""
 
-    NEVER_RAN = "never"  # no attempt reached the destination, or each proved that it was not executed
-    MAY_HAVE_RUN = "may"  # at least one attempt has no outcome that proves either
+    NEVER_RAN = "never"  # no attempt was made, or each attempt proved that it was not executed
+    MAY_HAVE_RUN = "may"  # the outcome of at least one attempt proves neither
     RAN = "ran"  # the destination has confirmed the execution
 
 
 class DeadLetterState(Enum):
-    """What happens next to a dead letter."""
+    """The processing state of a dead letter."""
 
     PENDING = "kept"  # rules may redeliver it
-    ON_HOLD = "held"  # no rule may: an operator, or the doubt whether it was executed, holds it back
-    REDELIVERING = "resending"  # the delivery engine has it, or is about to get it
+    ON_HOLD = "held"  # no rule may: an operator put it on hold, or it may have been executed
+    REDELIVERING = "resending"  # passed to the delivery engine, or selected for it
     DELIVERED = "delivered"  # a redelivery succeeded
-    ALREADY_RAN = "ran"  # evidence has shown that it was executed: there is nothing to redeliver
-    DROPPED = "dropped"  # an operator has given it up
+    ALREADY_RAN = "ran"  # known to have been executed; not redelivered
+    DROPPED = "dropped"  # closed by an operator without redelivery
 
 
 CLOSED_STATES: Final = frozenset(
@@ -49,8 +49,8 @@
         endpoint: the endpoint's name.
         started_unix_ms: when the attempt started.
         outcome: the value of its `api.Outcome`, or `still out` if it was in flight when the message ended.
-        duration_ms: how long it took.
-        retry_after_ms: how long the endpoint asked to wait; 0 if it did not.
+        duration_ms: duration of the attempt.
+        retry_after_ms: wait that the endpoint asked for; 0 if it asked for none.
     """
 
     endpoint: str
@@ -67,15 +67,15 @@
 
 @dataclass(frozen=True, slots=True)
 class DestinationSnapshot:
-    """What the scheduler knew of a destination when it gave a message up.
+    """The scheduler's view of a destination when it abandoned a message.
 
     Attributes:
-        window: calls that might be in flight at once.
-        calls_in_flight: calls that were in flight.
-        queued_message_count: messages that waited there.
-        unhealthy_endpoint_count: usable endpoints that got trial calls only.
-        usable_endpoint_count: endpoints that accepted new calls.
-        retry_after_ms: how long it had asked to wait, from then on.
+        window: maximum number of calls in flight at once.
+        calls_in_flight: number of calls in flight.
+        queued_message_count: messages queued for the destination.
+        unhealthy_endpoint_count: usable endpoints that get trial calls only.
+        usable_endpoint_count: endpoints that accept new calls.
+        retry_after_ms: remaining wait that the destination had asked for.
     """
 
     window: int = 0
@@ -88,14 +88,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FailureHistory:
-    """Why a message ended; the journal has it with the notification, so that it survives a restart.
+    """Why a message ended. The journal stores it with the notification, so that it survives a restart.
 
     Attributes:
-        reason: one of the texts of `evidence.failure_reason`.
-        ended_unix_ms: when the scheduler gave the message up.
+        reason: a text that `evidence.failure_reason` returned.
+        ended_unix_ms: when the scheduler abandoned the message.
         attempts: its recorded attempts, oldest first.
-        unrecorded_attempt_count: attempts before a restart, of which nothing but their number is known.
-        destination: the state of its destination at that time.
+        unrecorded_attempt_count: number of attempts before a restart, which are not recorded one by one.
+        destination: the state of its destination when the scheduler abandoned the message.
     """
 
     reason: str
@@ -107,28 +107,30 @@
 
 @dataclass(frozen=True, slots=True)
 class DeadLetter:
-    """A message that ended undelivered, as the store has it.
+    """A message that ended undelivered, as it is stored.
 
     Attributes:
         id: the message's identifier.
-        deadline_unix_ms: identifies the message together with its id, since ids may be reused after years.
+        deadline_unix_ms: the message's deadline; identifies the message together with its id, because ids may
+            be reused after years.
         class_name: its message class.
         destination: the destination's number.
         key: the ordering key, if any.
         idempotency_key: passed on to the endpoint unchanged.
         body: passed on to the endpoint unchanged.
-        final_state: `failed` or `returned`: the final answer that was given, and stands.
+        final_state: final answer to the client, `failed` or `returned`; a redelivery does not change it.
         failure_history: why it ended.
         execution_evidence: whether it was executed.
-        evidence_text: that evidence for people.
+        evidence_text: the evidence as a text for operators.
         first_run_unix_ms: start of the first attempt that may have executed it, if any.
-        state: what happens next to it.
-        number: its number in the store; 0 before it has one.
+        state: its processing state.
+        number: its number in the store; 0 before it is stored.
         redelivery_count: redeliveries so far.
-        next_redelivery_unix_ms: no rule redelivers it before.
+        next_redelivery_unix_ms: earliest time at which a rule may redeliver it.
         note: the reason of its latest change of state.
         is_approved: an operator has approved the next redelivery.
-        release_statement: who has confirmed that it was not executed, and why; empty if nobody has.
+        release_statement: operator who confirmed that it was not executed, and the reason; empty without a
+            confirmation.
     """
 
     id: str
@@ -153,7 +155,7 @@
 
     @property
     def size_bytes(self) -> int:
-        """What it counts for against the store's bounds: its body, and about what the rest takes."""
+        """Size that counts against the store's bounds: the body, and an estimate of the rest."""
         return len(self.body) + RECORD_OVERHEAD_BYTES + ATTEMPT_BYTES * len(self.failure_history.attempts)
 
     @property
@@ -163,7 +165,7 @@
 
 
 class DeadLetterChanges(TypedDict, total=False):
-    """Fields of a stored dead letter that may be changed."""
+    """The mutable fields of a stored dead letter."""
 
     failure_history: FailureHistory
     execution_evidence: ExecutionEvidence
--- a/winchspan/dead_letters/redelivery.py
+++ b/winchspan/dead_letters/redelivery.py
@@ -1,8 +1,9 @@
-"""Redelivers dead letters, by rule or after an operator's approval: from the store into the delivery engine.
+"""Redelivers dead letters by rule or after an operator's approval: from the store into the delivery engine.
 
-The policy decides what to redeliver; this asks the store for what is due, marks it before the engine has it,
-and takes the mark back where the engine does not accept it now. The mark is a change of state that only one
-can make, so that a rule and two operators who mean the same message redeliver it once.
+The policy decides which messages to redeliver. The worker reads the messages that are due, marks them as
+being redelivered before it passes them to the engine, and reverts the mark if the engine rejects them. The
+mark is a compare-and-set of the state, so that a rule and two operators who select the same message redeliver
+it once.
 """
 
 from __future__ import annotations
@@ -29,41 +30,41 @@
 from winchspan.runtime.clock import Clock
 from winchspan.runtime.timers import TimerQueue
 
-MAX_DUE_PER_ROUND: Final = 50  # messages that are decided about
-MAX_IN_FLIGHT: Final = 4  # redeliveries that the engine has at most
-RETRY_DELAY_MS: Final = 2_000.0  # until a message is redelivered that the engine did not accept
-UNMATCHED_RECHECK_MS: Final = HOUR_MS  # until a message is decided about again that no rule matches
+MAX_DUE_PER_ROUND: Final = 50  # messages on which one round decides
+MAX_IN_FLIGHT: Final = 4  # redeliveries in the engine at once
+RETRY_DELAY_MS: Final = 2_000.0  # delay after the engine rejected a message
+UNMATCHED_RECHECK_MS: Final = HOUR_MS  # delay until the next decision on a message that no rule redelivers
 
 ResultT = TypeVar("ResultT")
 
 
 class RedeliveryEngine(Protocol):
-    """The delivery engine, as far as it redelivers."""
+    """The part of the delivery engine that accepts redeliveries."""
 
     def redeliver(self, message: RedeliveredMessage) -> bool:
-        """Accept a message as work of the lowest rank; False if that is not possible now."""
+        """Accept a message with the lowest priority; return False if the engine rejects it."""
 
 
 class StoreExecutor(Protocol):
-    """The archiver, as far as it runs operations on the store's thread."""
+    """The part of the archiver that runs operations on the store's thread."""
 
     def run_on_store(
         self,
         operation: Callable[[DeadLetterStore], ResultT],
         on_result: Callable[[ResultT | None], None],
     ) -> None:
-        """Run an operation; `on_result` gets its result on the loop, or None if the store is out of order."""
+        """Run an operation; `on_result` gets its result on the event loop, or None if the store failed."""
 
 
 @dataclass(frozen=True, slots=True)
 class RedeliveryPorts:
-    """Everything outside this package that redelivery works with.
+    """The dependencies of redelivery.
 
     Attributes:
         clock: reads the time.
-        timers: calls back at a time.
+        timers: schedules the next round.
         store: runs operations on the store's thread.
-        engine: redelivers.
+        engine: accepts the redeliveries.
     """
 
     clock: Clock
@@ -74,11 +75,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RedeliveryBatch:
-    """What one round has selected.
+    """The messages that one round selected.
 
     Attributes:
-        selected: messages to be redelivered, as they were before they were marked.
-        in_flight_count: messages that were marked before, and are not settled.
+        selected: messages to redeliver, in their state before the mark.
+        in_flight_count: messages that earlier rounds marked and that are not settled yet.
     """
 
     selected: list[DeadLetter]
@@ -86,17 +87,17 @@
 
 
 class RedeliveryWorker:
-    """Looks for messages to redeliver, round by round."""
+    """Selects and redelivers dead letters in rounds."""
 
     def __init__(
         self, ports: RedeliveryPorts, policy: RedeliveryPolicy, rate: RedeliveryRateLimiter | None = None
     ) -> None:
-        """Make an idle worker.
+        """Create an idle worker.
 
         Args:
-            ports: what it works with.
-            policy: decides about each message.
-            rate: how fast each rule may redeliver; by default at its own rate.
+            ports: the worker's dependencies.
+            policy: decides on each message.
+            rate: limits the rate of each rule; by default to the rate that the rule states.
         """
         self._clock = ports.clock
         self._timers = ports.timers
@@ -104,21 +105,21 @@
         self._engine = ports.engine
         self._policy = policy
         self._rate = rate or RedeliveryRateLimiter()
-        self._next_due_unix_ms = 0.0  # as of the store's content of the stamp
+        self._next_due_unix_ms = 0.0  # valid while the store has the stamp below
         self._stamp = ChangeStamp(0, 0)
         self.sent_count = 0
-        self.rejected_count = 0  # by the engine
+        self.rejected_count = 0  # messages that were selected, but not redelivered
 
     def start(self) -> None:
-        """Begin a round; each is followed by the next."""
+        """Start a round. Each round schedules the next one."""
         self._store.run_on_store(self._select, self._dispatch)
 
     # ---- on the store's thread ---------------------------------------------------------------------------
     def _select(self, store: DeadLetterStore) -> RedeliveryBatch:
-        """Decide about what is due, and mark what is to be redelivered."""
+        """Decide on the messages that are due, and mark those to redeliver."""
         now_ms = self._clock.unix_ms()
         if now_ms < self._next_due_unix_ms and store.change_stamp() == self._stamp:
-            return RedeliveryBatch([], 0)  # nothing has come due, and nobody has changed anything
+            return RedeliveryBatch([], 0)  # nothing is due, and the store is unchanged
         in_flight_count = store.count(DeadLetterFilter(state=DeadLetterState.REDELIVERING))
         batch = RedeliveryBatch([], in_flight_count)
         try:
@@ -126,7 +127,7 @@
         except DeadLetterStoreError:
             if not batch.selected:
                 raise
-            # Guards against messages that are marked, and that nobody would redeliver before the next start.
+            # Dispatches the messages that are already marked: otherwise they would wait for the next start.
             logger.bind(event="undelivered_lost").error(
                 "undelivered: the store failed during a round of redelivery"
             )
@@ -136,7 +137,7 @@
         return batch
 
     def _fill(self, batch: RedeliveryBatch, store: DeadLetterStore, now_ms: float) -> None:
-        """Decide about each message that is due, and add those that are marked."""
+        """Decide on each message that is due, and add the marked ones to the batch."""
         for dead_letter in store.due_for_redelivery(now_ms, MAX_DUE_PER_ROUND):
             decision = self._policy.decide(now_ms, dead_letter)
             if decision.action is not RedeliveryAction.SEND:
@@ -150,10 +151,10 @@
     def _mark(
         self, store: DeadLetterStore, dead_letter: DeadLetter, decision: RedeliveryDecision, now_ms: float
     ) -> bool:
-        """Mark a message as being redelivered, unless its rule's rate does not allow it or it was changed."""
+        """Mark a message as being redelivered, unless its rule is at its rate or the message changed."""
         rule = self._policy.rule_named(decision.rule_name)
         if rule is not None and not dead_letter.is_approved and not self._rate.may_send(now_ms, rule):
-            # To the end of what is due: a slow rule with much to do must not keep others waiting.
+            # Postponed behind the other due messages: a slow rule with many messages must not starve others.
             next_check_ms = self._rate.next_send_unix_ms(now_ms, rule)
             store.update(dead_letter.number, DeadLetterState.PENDING, next_redelivery_unix_ms=next_check_ms)
             return False
@@ -169,9 +170,9 @@
             self._rate.record_sent(now_ms, rule)
         return is_marked
 
-    # ---- on the loop -------------------------------------------------------------------------------------
+    # ---- on the event loop -------------------------------------------------------------------------------
     def _dispatch(self, batch: RedeliveryBatch | None) -> None:
-        """Give the engine what was selected."""
+        """Pass the selected messages to the engine."""
         for dead_letter in batch.selected if batch is not None else ():
             may_send = dead_letter.is_approved or self._rate.is_selection_valid()
             if may_send and self._engine.redeliver(_redelivered_message(dead_letter)):
@@ -183,12 +184,12 @@
                 )
             else:
                 self.rejected_count += 1
-                self._take_back(dead_letter)
+                self._revert_mark(dead_letter)
         self._rate.complete_round()
         self._timers.call_later(POLL_INTERVAL_MS, self.start)
 
-    def _take_back(self, dead_letter: DeadLetter) -> None:
-        """Undo the mark of a message that the engine has not accepted."""
+    def _revert_mark(self, dead_letter: DeadLetter) -> None:
+        """Revert the mark of a message that was not redelivered."""
 
         def undo(store: DeadLetterStore) -> bool:
             return store.update(
@@ -206,7 +207,7 @@
 def _defer(
     store: DeadLetterStore, dead_letter: DeadLetter, decision: RedeliveryDecision, now_ms: float
 ) -> None:
-    """Note in the store that a message is not redelivered now."""
+    """Record in the store that a message is not redelivered now."""
     if decision.action in (RedeliveryAction.HOLD, RedeliveryAction.AWAIT_APPROVAL):
         store.update(
             dead_letter.number, DeadLetterState.PENDING, state=DeadLetterState.ON_HOLD, note=decision.reason
--- a/winchspan/dead_letters/rows.py
+++ b/winchspan/dead_letters/rows.py
@@ -1,4 +1,4 @@
-"""Maps dead letters to the rows of the store's table `kept`."""
+"""Maps dead letters to rows of the store's table `kept`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from winchspan.dead_letters.records import DeadLetter, DeadLetterState, ExecutionEvidence
 
 SqlValue = str | int | float | bytes | None
-Row = Sequence[Any]  # as SQLite returns it
+Row = Sequence[Any]  # a row that SQLite returns
 
 _READ_COLUMN_NAMES: Final = (
     "number", "id", "deadline", "cls", "dest", "key", "token", "body", "end", "story", "ran", "evidence",
@@ -23,12 +23,12 @@
 
 
 def encode_key(key: int | None) -> str | None:
-    """Return an ordering key as a row has it: it has up to 128 bits, too many for a number of SQLite's."""
+    """Return an ordering key as stored: hexadecimal, because SQLite's integers cannot hold its 128 bits."""
     return None if key is None else f"{key:x}"
 
 
 def insert_statement(columns: Iterable[str]) -> str:
-    """Return the statement that inserts a row of named values unless its message is stored already."""
+    """Return the statement that inserts a row of named values; it skips a message that is stored already."""
     names = list(columns)
     placeholders = ", ".join(f":{name}" for name in names)
     return f"INSERT OR IGNORE INTO kept({', '.join(names)}) VALUES({placeholders})"
@@ -41,7 +41,7 @@
 
 
 def mutable_values(dead_letter: DeadLetter, *, has_effect: bool) -> Mapping[str, SqlValue]:
-    """Return the values of the columns that may change.
+    """Return the values of the mutable columns.
 
     Args:
         dead_letter: the message.
@@ -66,7 +66,7 @@
 
 
 def all_values(dead_letter: DeadLetter, *, has_effect: bool) -> Mapping[str, SqlValue]:
-    """Return the values of all columns but the number, which the store assigns; see `mutable_values`."""
+    """Return the values of all columns except the number, which the store assigns; see `mutable_values`."""
     return {
         "id": dead_letter.id,
         "deadline": dead_letter.deadline_unix_ms,
@@ -86,7 +86,7 @@
     """Return the dead letter of a row of `READ_COLUMNS`.
 
     Raises:
-        DeadLetterStoreError: if it is not one.
+        DeadLetterStoreError: if a column has an invalid value.
     """
     column = dict(zip(_READ_COLUMN_NAMES, row, strict=True))
     try:
--- a/winchspan/dead_letters/settlement.py
+++ b/winchspan/dead_letters/settlement.py
@@ -1,4 +1,4 @@
-"""Settles redeliveries in the store: what their ends change, and what a restart finds unfinished."""
+"""Settles redeliveries in the store: applies outcomes, and reconciles store and journal at startup."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 from winchspan.dead_letters.store import DeadLetterStore
 from winchspan.storage.journal_records import JournalEntry
 
-MAX_RECORDED_ATTEMPTS: Final = 24  # of a message; the earliest are left out
-_ALL: Final = 1_000_000
+MAX_RECORDED_ATTEMPTS: Final = 24  # per message; the earliest ones are dropped
+_NO_LIMIT: Final = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class RedeliveryOutcome:
-    """How a redelivery ended.
+    """The outcome of a redelivery.
 
     Attributes:
-        ended_unix_ms: when.
+        ended_unix_ms: when the redelivery ended.
         first_run_unix_ms: start of its first attempt that may have executed the message, by the wall clock.
-        first_executed_at_ms: the same by the journal's clock.
-        is_delivered: it was delivered.
+        first_executed_at_ms: the same start by the journal's clock.
+        is_delivered: whether the message was delivered.
     """
 
     ended_unix_ms: float
@@ -40,12 +40,12 @@
     is_delivered: bool
 
 
-def changes_after_delivery(end: RedeliveryOutcome) -> DeadLetterChanges:
-    """Return what a redelivery that was delivered changes of its dead letter."""
+def changes_after_delivery(outcome: RedeliveryOutcome) -> DeadLetterChanges:
+    """Return the changes of a dead letter after a successful redelivery."""
     return DeadLetterChanges(
         state=DeadLetterState.DELIVERED,
         execution_evidence=ExecutionEvidence.RAN,
-        first_run_unix_ms=end.ended_unix_ms,
+        first_run_unix_ms=outcome.ended_unix_ms,
         evidence_text="a resend was delivered",
         note="delivered by a resend",
         is_approved=False,
@@ -53,18 +53,18 @@
 
 
 def changes_after_failure(
-    dead_letter: DeadLetter, end: RedeliveryOutcome, latest: FailureHistory, *, has_effect: bool
+    dead_letter: DeadLetter, outcome: RedeliveryOutcome, latest: FailureHistory, *, has_effect: bool
 ) -> DeadLetterChanges:
-    """Return what a redelivery that was not delivered changes of its dead letter.
+    """Return the changes of a dead letter after a failed redelivery.
 
     Args:
-        dead_letter: as the store has it.
-        end: how the redelivery ended.
+        dead_letter: the stored dead letter.
+        outcome: the outcome of the redelivery.
         latest: the failure history of the redelivery.
         has_effect: whether a second delivery of the message has an effect.
     """
     evidence, text = execution_finding(
-        latest.attempts, latest.unrecorded_attempt_count, end.first_executed_at_ms
+        latest.attempts, latest.unrecorded_attempt_count, outcome.first_executed_at_ms
     )
     if dead_letter.execution_evidence is ExecutionEvidence.MAY_HAVE_RUN and not dead_letter.is_released:
         evidence, text = dead_letter.execution_evidence, dead_letter.evidence_text
@@ -73,7 +73,7 @@
         failure_history=_merged_history(dead_letter.failure_history, latest),
         execution_evidence=evidence,
         evidence_text=text,
-        first_run_unix_ms=_first_run_unix_ms(dead_letter, end, evidence),
+        first_run_unix_ms=_first_run_unix_ms(dead_letter, outcome, evidence),
         is_approved=False,
         release_statement="",
         note=f"a resend ended: {latest.reason}",
@@ -81,7 +81,7 @@
 
 
 def _merged_history(first: FailureHistory, latest: FailureHistory) -> FailureHistory:
-    """Return the history of a message that has failed again, with its first reason and end."""
+    """Merge the histories of a message that failed again; the first reason and end time stay."""
     return replace(
         latest,
         attempts=(*first.attempts, *latest.attempts)[-MAX_RECORDED_ATTEMPTS:],
@@ -92,43 +92,46 @@
 
 
 def _first_run_unix_ms(
-    dead_letter: DeadLetter, end: RedeliveryOutcome, evidence: ExecutionEvidence
+    dead_letter: DeadLetter, outcome: RedeliveryOutcome, evidence: ExecutionEvidence
 ) -> float | None:
-    first_run_unix_ms = end.first_run_unix_ms
+    first_run_unix_ms = outcome.first_run_unix_ms
     if dead_letter.first_run_unix_ms is not None and not dead_letter.is_released:
         first_run_unix_ms = dead_letter.first_run_unix_ms
     if first_run_unix_ms is None and evidence is ExecutionEvidence.MAY_HAVE_RUN:
-        return end.ended_unix_ms
+        return outcome.ended_unix_ms
     return first_run_unix_ms
 
 
 def reconcile(
     store: DeadLetterStore, entries: Sequence[JournalEntry], has_effect: Callable[[str], bool]
 ) -> set[int]:
-    """Return which journal entries the store has settled, and take back redeliveries that never began.
+    """Return the journal entries that the store has settled, and revert redeliveries that never started.
 
-    A message in both was moved when the process ended before; its notification had been acknowledged. So was
-    a redelivery whose end the store knows. Messages that the store marks as being redelivered, and that the
-    journal does not have, never left, since the journal comes first: they are pending again.
+    A crash can interrupt the move of a message from the journal to the store:
+
+    - A message that is in both files was stored, and its notification acknowledged: its entry is settled.
+    - A redelivery whose outcome the store has recorded is settled, too.
+    - A message that the store marks as being redelivered, but that is not in the journal, was never sent,
+      because the journal records a redelivery before it starts. It becomes pending again.
 
     Args:
         store: the store.
-        entries: the journal's open entries at a start.
-        has_effect: whether a second delivery of a class has an effect.
+        entries: the journal's open entries at startup.
+        has_effect: returns whether a second delivery of a class has an effect.
 
     Returns:
         The numbers of the settled entries.
     """
     journalled = {entry.redelivery_of for entry in entries if entry.redelivery_of}
-    redelivering = store.find(DeadLetterFilter(state=DeadLetterState.REDELIVERING), _ALL)
+    redelivering = store.find(DeadLetterFilter(state=DeadLetterState.REDELIVERING), _NO_LIMIT)
     for dead_letter in redelivering:
         if dead_letter.number not in journalled:
-            _take_back(store, dead_letter, has_effect=has_effect(dead_letter.class_name))
+            _revert_mark(store, dead_letter, has_effect=has_effect(dead_letter.class_name))
     open_numbers = {dead_letter.number for dead_letter in redelivering}
     return {entry.number for entry in entries if _is_settled(store, entry, open_numbers)}
 
 
-def _take_back(store: DeadLetterStore, dead_letter: DeadLetter, *, has_effect: bool) -> None:
+def _revert_mark(store: DeadLetterStore, dead_letter: DeadLetter, *, has_effect: bool) -> None:
     needs_release = has_effect and not dead_letter.is_released
     store.update(
         dead_letter.number,
@@ -142,4 +145,4 @@
 def _is_settled(store: DeadLetterStore, entry: JournalEntry, open_numbers: set[int]) -> bool:
     if entry.redelivery_of:
         return entry.redelivery_of not in open_numbers
-    return bool(entry.owed_notification) and store.contains(entry.id, entry.deadline_ms)
+    return bool(entry.pending_notification) and store.contains(entry.id, entry.deadline_ms)
--- a/winchspan/dead_letters/setup.py
+++ b/winchspan/dead_letters/setup.py
@@ -1,4 +1,4 @@
-"""Makes the archiver and the redelivery rules of the operator's file; belongs to the composition root."""
+"""Creates the archiver and the redelivery rules from the operator's file, for the composition root."""
 
 from __future__ import annotations
 
@@ -65,5 +65,5 @@
     clock: Clock,
     call_soon: Callable[[Callable[[], None]], object],
 ) -> DeadLetterArchiver:
-    """Return the archiver that the section `undelivered` asks for."""
+    """Return the archiver that the section `undelivered` configures."""
     return DeadLetterArchiver(archiver_settings(values), settings, clock, call_soon)
--- a/winchspan/dead_letters/store.py
+++ b/winchspan/dead_letters/store.py
@@ -1,7 +1,7 @@
 """The store of dead letters: a SQLite file in WAL mode, bounded by bytes, count and age.
 
-Every change is one transaction. A `DeadLetterStore` is used by one thread; the courier has one for it
-(`store_worker`). Tools open the same file, whether a courier runs or not.
+Every change is one transaction. One thread uses a `DeadLetterStore`; in the courier that is the thread of
+`store_worker`. Tools open the same file, whether or not a courier is running.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 from winchspan.dead_letters.store_eviction import SpaceRequest, StoreBounds, free_space
 
 STORE_FILE_NAME: Final = "undelivered.sqlite"
-IMPORT_ACTION: Final = "import"  # in the audit log
+IMPORT_ACTION: Final = "import"  # name of the action in the audit log
 ALL_ENTRIES: Final = 1_000_000_000
 DEFAULT_LIMIT: Final = 100
 
@@ -47,14 +47,14 @@
 
 
 class ChangeStamp(NamedTuple):
-    """Differs whenever the store was changed in between, here or by another process."""
+    """Changes with every change of the store, by this connection or by another process."""
 
     data_version: int
     local_change_count: int
 
 
 class DeadLetterStore:
-    """One store file. Raises `DeadLetterStoreError`, and nothing else, for whatever is wrong with it."""
+    """One store file. All its failures are raised as `DeadLetterStoreError`."""
 
     def __init__(
         self,
@@ -65,18 +65,18 @@
         durable: bool = False,
         read_only: bool = False,
     ) -> None:
-        """Open a store, and make or migrate it unless it is only to be read.
+        """Open a store. Unless it is opened read-only, create or migrate it.
 
         Args:
             path: the file; its directory must exist.
-            bounds: how much is stored at most.
-            has_effect: whether a second delivery of a class has an effect, to know what is safe to lose;
-                asked when a message is added.
-            durable: whether a commit waits for the disk, so that it outlasts the machine.
-            read_only: for tools.
+            bounds: bounds on the content.
+            has_effect: returns whether a second delivery of a class has an effect. It is called when a
+                message is added, to rank the message for eviction.
+            durable: whether a commit waits for the disk, so that it survives a crash of the machine.
+            read_only: open without write access, for tools.
 
         Raises:
-            DeadLetterStoreError: if the file cannot be used, or is only to be read and missing.
+            DeadLetterStoreError: if the file cannot be used, or is missing and opened read-only.
         """
         self._path = path
         self._bounds = bounds
@@ -96,7 +96,7 @@
 
     @contextmanager
     def _transaction(self) -> Iterator[sqlite3.Connection]:
-        """Change the store in one transaction; whatever goes wrong in it leaves the store as it was."""
+        """Run a transaction; an error rolls it back."""
         try:
             self._database.execute("BEGIN IMMEDIATE")
             try:
@@ -111,7 +111,7 @@
 
     @contextmanager
     def _snapshot(self) -> Iterator[sqlite3.Connection]:
-        """Read the store as of one time: what others change meanwhile is not seen."""
+        """Read from one snapshot, which excludes concurrent changes."""
         try:
             self._database.execute("BEGIN")
             try:
@@ -131,18 +131,19 @@
     def add(
         self, dead_letters: Sequence[DeadLetter], now_ms: float, operator: str = "", source: str = ""
     ) -> int:
-        """Store messages, all or none; those that are stored already stay as they are.
+        """Store all messages or none; messages that are stored already stay unchanged.
 
         Args:
             dead_letters: the messages.
-            now_ms: the time, in Unix ms.
-            operator: who imports them; the audit log gets an entry for each. Empty for the courier's own.
-            source: where they are imported from.
+            now_ms: the current time, in Unix ms.
+            operator: operator who imports them, for an entry per message in the audit log; empty for messages
+                of the courier itself.
+            source: name of the import's source.
 
         Returns:
-            How many messages were evicted for them.
+            The number of messages that were evicted for them.
         """
-        request = SpaceRequest(sum(one.size_bytes for one in dead_letters), len(dead_letters))
+        request = SpaceRequest(sum(each.size_bytes for each in dead_letters), len(dead_letters))
         with self._transaction() as database:
             evicted_count = free_space(database, self._bounds, request, now_ms)
             for dead_letter in dead_letters:
@@ -162,17 +163,16 @@
     ) -> bool:
         """Change a message if it is in the expected state.
 
-        This guards against two who act on one message at once: only the first succeeds.
+        The check of the state guards against concurrent changes of a message: only the first one succeeds.
 
         Args:
             number: the message's number.
-            expected: the state that it must be in.
-            action: the operator's action that this is, for the audit log; it is logged in the same
-                transaction.
-            changes: the fields that change.
+            expected: the state that the message must be in.
+            action: the operator's action, logged in the same transaction; None if no operator acts.
+            changes: the fields to change.
 
         Returns:
-            Whether it was changed; False if it is in another state, or gone.
+            Whether the message was changed; False if it is in another state or not stored.
         """
         with self._transaction() as database:
             row = database.execute(
@@ -205,7 +205,7 @@
         return bool(self._fetch("SELECT 1 FROM kept WHERE id = ? AND deadline = ?", key))
 
     def get(self, number: int) -> DeadLetter | None:
-        """Return a message by its number, if it is stored."""
+        """Return a message by its number, or None if it is not stored."""
         rows = self._fetch(f"SELECT {READ_COLUMNS} FROM kept WHERE number = ?", (number,))
         return decode_row(rows[0]) if rows else None
 
@@ -221,9 +221,9 @@
 
         Args:
             wanted: the filter.
-            limit: messages of a page.
-            after: the number that ended the page before; 0 for the first page.
-            oldest_first: the order, by number.
+            limit: maximum number of messages in the page.
+            after: last number of the previous page; 0 for the first page.
+            oldest_first: order by ascending number.
         """
         text, values = wanted.condition()
         if after:
@@ -234,12 +234,12 @@
         return [decode_row(row) for row in self._fetch(statement, [*values, limit])]
 
     def count(self, wanted: DeadLetterFilter) -> int:
-        """Return how many messages a filter selects."""
+        """Return the number of messages that a filter selects."""
         text, values = wanted.condition()
         return int(self._fetch(f"SELECT count(*) FROM kept WHERE {text}", values)[0][0])
 
     def due_for_redelivery(self, now_ms: float, limit: int) -> list[DeadLetter]:
-        """Return messages to which rules may apply and whose time has come, the longest due first."""
+        """Return pending messages that are due for redelivery, the longest due first."""
         rows = self._fetch(
             f"SELECT {READ_COLUMNS} FROM kept WHERE state = ? AND next_at <= ?"
             " ORDER BY next_at, number LIMIT ?",
@@ -248,7 +248,7 @@
         return [decode_row(row) for row in rows]
 
     def next_due_unix_ms(self) -> float:
-        """Return when the next message is due to which rules may apply; infinity if there is none."""
+        """Return when the next pending message is due; infinity if there is none."""
         state = DeadLetterState.PENDING.value
         due = self._fetch("SELECT min(next_at) FROM kept WHERE state = ?", (state,))[0][0]
         return float("inf") if due is None else float(due)
@@ -268,11 +268,11 @@
         return {"file_bytes": file_bytes, **totals, **groups}
 
     def read_audit_log(self, after: int = 0, limit: int = ALL_ENTRIES) -> AuditPage:
-        """Return a page of operators' actions, oldest first, after checking the complete chain of hashes.
+        """Verify the complete hash chain of the audit log, and return a page of it, oldest entry first.
 
         Args:
-            after: the number that ended the page before; 0 for the first page.
-            limit: entries of a page.
+            after: last number of the previous page; 0 for the first page.
+            limit: maximum number of entries in the page.
 
         Raises:
             DeadLetterStoreError: if the chain is broken.
@@ -292,7 +292,7 @@
 
 
 class OpenedStore(NamedTuple):
-    """An open store, and where a damaged one before it was set aside, if it was."""
+    """An open store, and the new path of a damaged file that it replaces, if any."""
 
     store: DeadLetterStore
     damaged_path: Path | None
@@ -306,15 +306,15 @@
     *,
     durable: bool = False,
 ) -> OpenedStore:
-    """Open a store; a damaged one is set aside under another name, and a new one made.
+    """Open a store. A damaged file is renamed and replaced by a new store.
 
     Raises:
-        DeadLetterStoreError: if the file is of a later version or no store; it is left alone then.
+        DeadLetterStoreError: if the file has a later version or is not a store; it stays unchanged.
     """
     try:
         return OpenedStore(DeadLetterStore(path, bounds, has_effect, durable=durable), None)
     except DeadLetterStoreError as err:
-        if not any(sign in str(err) for sign in _DAMAGE_ERROR_TEXTS):
+        if not any(text in str(err) for text in _DAMAGE_ERROR_TEXTS):
             raise
     damaged_path = path.with_name(f"{path.name}.damaged-{int(now_ms)}")
     for suffix in _FILE_SUFFIXES:
--- a/winchspan/dead_letters/store_eviction.py
+++ b/winchspan/dead_letters/store_eviction.py
@@ -1,4 +1,4 @@
-"""Makes room in the store: by age first, and then by what is safest to lose (`eviction`)."""
+"""Frees space in the store: expired messages first, then the lowest eviction ranks (`eviction`)."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from winchspan.dead_letters.eviction import RANK_REDELIVERING
 
 DAY_MS: Final = 86_400_000.0
-MAX_EXPIRED_PER_TRANSACTION: Final = 200  # rows that are evicted for their age
+MAX_EXPIRED_PER_TRANSACTION: Final = 200  # expired rows that one transaction evicts
 
 
 @dataclass(frozen=True, slots=True)
 class StoreBounds:
-    """How much is stored at most.
+    """Upper bounds on the content of a store.
 
     Attributes:
-        file_bytes: size of the file, and of what the messages count for.
-        message_count: dead letters.
-        retention_days: time since their end.
-        audit_entry_count: operators' actions in the audit log, or a tenth more.
+        file_bytes: size of the file; the messages' sizes count against it.
+        message_count: number of dead letters.
+        retention_days: time from the end of a message to its expiry.
+        audit_entry_count: number of entries in the audit log, which may exceed it by a tenth.
     """
 
     file_bytes: int = 64_000_000
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SpaceRequest:
-    """Room for some new messages."""
+    """The space that new messages need."""
 
     size_bytes: int
     message_count: int
@@ -48,19 +48,19 @@
 def free_space(
     database: sqlite3.Connection, bounds: StoreBounds, request: SpaceRequest, now_ms: float
 ) -> int:
-    """Evict what must go for new messages, within a transaction, counted by rank.
+    """Evict messages to make space for new ones, within a transaction, and count the evictions by rank.
 
     Args:
         database: the store, within a transaction.
-        bounds: how much may be stored.
-        request: the room that is needed.
-        now_ms: the time, in Unix ms.
+        bounds: bounds on the content.
+        request: the space that is needed.
+        now_ms: the current time, in Unix ms.
 
     Returns:
-        How many messages were evicted.
+        The number of evicted messages.
 
     Raises:
-        sqlite3.OperationalError: if there is no room, and nothing that may be lost.
+        sqlite3.OperationalError: if the space is insufficient, and no message may be evicted.
     """
     evicted = _expired_rows(database, now_ms - bounds.retention_days * DAY_MS)
     evicted += _excess_rows(database, bounds, request, {row.number for row in evicted})
@@ -84,10 +84,10 @@
 def _excess_rows(
     database: sqlite3.Connection, bounds: StoreBounds, request: SpaceRequest, expired: set[int]
 ) -> list[_EvictableRow]:
-    """Return what goes beyond the expired; the room that those make is not counted on."""
+    """Return the rows to evict in addition to the expired ones, whose space is not taken into account."""
     totals = dict(database.execute("SELECT name, value FROM totals"))
     free_count = bounds.message_count - totals["count"] - request.message_count
-    row_bytes = (bounds.file_bytes - SLACK_BYTES) // 2  # rows, and as much for indices
+    row_bytes = (bounds.file_bytes - SLACK_BYTES) // 2  # the other half is for indices
     excess_bytes = totals["bytes"] + request.size_bytes - row_bytes
     excess: list[_EvictableRow] = []
     candidates = _rows_by_rank(database)
--- a/winchspan/dead_letters/store_worker.py
+++ b/winchspan/dead_letters/store_worker.py
@@ -1,4 +1,4 @@
-"""Runs jobs on the store in a thread of its own, and hands their results to the event loop."""
+"""Runs jobs on the store in a dedicated thread, and passes their results to the event loop."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 from winchspan.runtime.clock import Clock
 
 MAX_MESSAGES_PER_TRANSACTION: Final = 100
-RETRY_INTERVAL_MS: Final = 5_000.0  # between two attempts to open a store that cannot be used
-CLOSE_TIMEOUT_SECONDS: Final = 0.3  # that an end of the process waits for the store; it has 3.7 s in all
+RETRY_INTERVAL_MS: Final = 5_000.0  # delay between two attempts to open a failed store
+CLOSE_TIMEOUT_SECONDS: Final = 0.3  # longest wait for the store at shutdown, which may take 3.7 s in total
 
 ResultT = TypeVar("ResultT")
 
 
 @dataclass(frozen=True, slots=True)
 class StoreSettings:
-    """Where the store is, and what it holds.
+    """Location and limits of the store.
 
     Attributes:
         path: the file.
-        bounds: how much is stored at most.
+        bounds: bounds on the content.
         is_durable: a commit waits for the disk.
     """
 
@@ -45,9 +45,9 @@
     """A message to be added to the store, or an operation on it.
 
     Attributes:
-        on_result: called on the loop with the operation's result; with None if the store is out of order.
-        dead_letter: the message to be added; None for an operation.
-        operation: called on the thread.
+        on_result: called on the event loop with the operation's result, or with None if the store failed.
+        dead_letter: the message to add; None for an operation.
+        operation: called on the store's thread.
     """
 
     on_result: Callable[[Any], None]
@@ -56,7 +56,7 @@
 
 
 class StoreWorker:
-    """The store's thread. All but `_run_thread` and what it calls belongs to the loop's thread."""
+    """The store's thread. All methods except `_run_thread` and its callees run on the event loop's thread."""
 
     def __init__(
         self,
@@ -68,45 +68,43 @@
         """Start the thread.
 
         Args:
-            settings: where the store is.
+            settings: location and limits of the store.
             clock: reads the time.
-            call_soon: hands a call to the loop from another thread.
-            has_effect: whether a second delivery of a class has an effect.
+            call_soon: schedules a call on the event loop from another thread.
+            has_effect: returns whether a second delivery of a class has an effect.
         """
-        self.unstored_count = (
-            0  # messages that were not stored: too many waited, or the store was out of order
-        )
+        self.unstored_count = 0  # messages that were not stored: the queue was full, or the store failed
         self._store_settings = settings
         self._clock = clock
         self._call_soon = call_soon
         self._has_effect = has_effect
         self._queue: SimpleQueue[StoreJob | None] = SimpleQueue()  # None ends the thread
         self._is_closing = False
-        self._is_loss_reported = False
+        self._is_failure_reported = False
         self._retries: list[Callable[[], None]] = []  # called once the store is usable again
-        # The thread's own:
-        self._postponed: deque[StoreJob | None] = deque()  # taken from the queue, and not run yet
+        # Used by the store's thread only:
+        self._postponed: deque[StoreJob | None] = deque()  # removed from the queue, but not run yet
         self._store: DeadLetterStore | None = None
-        self._retry_at_ms = 0.0  # the store is not opened before
+        self._retry_at_ms = 0.0  # earliest time of the next attempt to open the store
         self._thread = threading.Thread(target=self._run_thread, name="undelivered", daemon=True)
         self._thread.start()
 
-    # ---- on the loop -------------------------------------------------------------------------------------
+    # ---- on the event loop -------------------------------------------------------------------------------
     def run_on_store(
         self,
         operation: Callable[[DeadLetterStore], ResultT],
         on_result: Callable[[ResultT | None], None],
     ) -> None:
-        """Run an operation on the store's thread; meant for what is small and rare, like operators' actions.
+        """Run an operation on the store's thread; it should be short and rare, like an operator's action.
 
         Args:
-            operation: called on the thread.
-            on_result: called on the loop with its result; with None if the store is out of order.
+            operation: called on the store's thread.
+            on_result: called on the event loop with its result, or with None if the store failed.
         """
         self._submit(StoreJob(on_result, operation=operation))
 
     def close(self) -> None:
-        """Let the thread complete waiting jobs for a short while; what is left is still in the journal."""
+        """Wait briefly for the queued jobs; messages of unfinished jobs are still in the journal."""
         self._is_closing = True
         self._queue.put(None)
         self._thread.join(CLOSE_TIMEOUT_SECONDS)
@@ -117,32 +115,32 @@
     def _retry_when_usable(self, call: Callable[[], None]) -> None:
         self._retries.append(call)
 
-    def _report_loss(self, count: int, reason: str) -> None:
+    def _report_unstored(self, count: int, reason: str) -> None:
         self.unstored_count += count
-        if not self._is_loss_reported:
-            self._is_loss_reported = True
-            logger.bind(event="undelivered_lost").error("undelivered: messages are not kept: {}", reason)
+        if not self._is_failure_reported:
+            self._is_failure_reported = True
+            logger.bind(event="undelivered_lost").error("undelivered: messages are not stored: {}", reason)
 
     def _on_usable(self) -> None:
         retries, self._retries = self._retries, []
         for call in retries:
             call()
-        if self._is_loss_reported:
-            self._is_loss_reported = False
+        if self._is_failure_reported:
+            self._is_failure_reported = False
             logger.bind(event="undelivered_again").info(
-                "undelivered: messages are kept again; {} were not", self.unstored_count
+                "undelivered: messages are stored again; {} were not stored", self.unstored_count
             )
 
-    # ---- on the thread -----------------------------------------------------------------------------------
+    # ---- on the store's thread ---------------------------------------------------------------------------
     def _run_thread(self) -> None:
-        """Run jobs until the end; messages that wait in a row are added in one transaction."""
+        """Run jobs until shutdown; add consecutive messages in one transaction."""
         while (jobs := self._next_jobs()) is not None:
             for job, result in zip(jobs, self._run_jobs(jobs), strict=True):
                 self._call_on_loop(_result_call(job, result))
         self._close_store(self._store)
 
     def _next_jobs(self) -> list[StoreJob] | None:
-        """Return the next operation, or all messages to be added that wait in a row; None at the end."""
+        """Return the next operation, or the next consecutive messages to add; None at shutdown."""
         first = self._postponed.popleft() if self._postponed else self._queue.get()
         if first is None:
             return None
@@ -159,9 +157,9 @@
         return jobs
 
     def _run_jobs(self, jobs: list[StoreJob]) -> list[object]:
-        """Return the result of each job; None for each if the store is out of order."""
+        """Return the result of each job; None for each if the store failed."""
         if self._clock.now() < self._retry_at_ms:
-            return self._fail_jobs(jobs, "the store is out of order")
+            return self._fail_jobs(jobs, "the store is unavailable")
         try:
             if self._store is None:
                 self._store = self._open_store()
@@ -182,8 +180,8 @@
         return [None] * len(jobs)
 
     def _fail_jobs(self, jobs: list[StoreJob], reason: str) -> list[object]:
-        lost_count = sum(job.dead_letter is not None for job in jobs)
-        self._call_on_loop(lambda: self._report_loss(lost_count, reason))
+        unstored_count = sum(job.dead_letter is not None for job in jobs)
+        self._call_on_loop(lambda: self._report_unstored(unstored_count, reason))
         return [None] * len(jobs)
 
     def _open_store(self) -> DeadLetterStore:
@@ -205,7 +203,7 @@
             store.close()
 
     def _call_on_loop(self, call: Callable[[], None]) -> None:
-        """Hand a call to the loop; one that has ended does not need it any more."""
+        """Schedule a call on the event loop; at shutdown, ignore a loop that is already closed."""
         try:
             self._call_soon(call)
         except RuntimeError:
@@ -219,5 +217,5 @@
 
 def _report_damage(damaged_path: Path | None) -> None:
     logger.bind(event="undelivered_damaged").error(
-        "undelivered: the store was damaged and has been set aside as {}", damaged_path
+        "undelivered: the store was damaged and has been renamed to {}", damaged_path
     )
--- a/winchspan/delivery/__init__.py
+++ b/winchspan/delivery/__init__.py
@@ -1,1 +1,1 @@
-"""The engine that drives the scheduler: messages in hand, attempts in flight, final answers."""
+"""The delivery engine: accepts messages, runs the scheduler, and records attempts and final answers."""
--- a/winchspan/delivery/admission.py
+++ b/winchspan/delivery/admission.py
@@ -1,4 +1,4 @@
-"""How accepted messages reach the scheduler."""
+"""Admission of accepted messages to the scheduler."""
 
 from __future__ import annotations
 
@@ -10,43 +10,43 @@
 
 
 class Admission(Protocol):
-    """Lets accepted messages in to the scheduler."""
+    """Passes accepted messages on to the scheduler."""
 
     @property
     def backlog_count(self) -> int:
-        """How many messages of other couriers have been taken over and not let in yet."""
+        """Number of messages that were taken over from other couriers and are not admitted yet."""
 
-    def enter(
+    def admit(
         self,
         message: AcceptedMessage,
         event: api.MessageArrived | api.MessageRecovered,
         message_class: api.MessageClass | None,
         origin: str | None = None,
     ) -> None:
-        """Let a message in as soon as it may go.
+        """Admit a message once no other courier's message has to go first.
 
         Args:
             message: the message.
-            event: what the scheduler is told.
-            message_class: its class, if that is known.
-            origin: the courier that accepted it; empty: this one, in a previous incarnation; None: it is new.
+            event: the event that is posted to the scheduler.
+            message_class: its class; None if it is unknown.
+            origin: the courier that accepted it; empty: this courier before a restart; None: it is new.
         """
 
-    def take_over(
+    def admit_taken_over(
         self,
         message: AcceptedMessage,
         event: api.MessageRecovered,
         message_class: api.MessageClass | None,
         origin: str,
     ) -> None:
-        """Let in a message of another courier's work, as soon as there is capacity for it."""
+        """Admit a message that was taken over from another courier, once there is capacity for it."""
 
     def complete(self, journal_number: int) -> None:
-        """Stop waiting for a message that is completed."""
+        """Remove a completed message from the queue."""
 
 
 class DirectAdmission:
-    """Lets each message in at once: there are no other couriers to coordinate with."""
+    """Admits each message at once: there are no other couriers to coordinate with."""
 
     def __init__(self, events: EventQueue) -> None:
         self._events = events
@@ -56,24 +56,24 @@
         """Always 0."""
         return 0
 
-    def enter(
+    def admit(
         self,
         message: AcceptedMessage,
         event: api.MessageArrived | api.MessageRecovered,
         message_class: api.MessageClass | None,
         origin: str | None = None,
     ) -> None:
-        """Let a message in at once."""
+        """Admit a message at once."""
         self._events.post(event)
 
-    def take_over(
+    def admit_taken_over(
         self,
         message: AcceptedMessage,
         event: api.MessageRecovered,
         message_class: api.MessageClass | None,
         origin: str,
     ) -> None:
-        """Do nothing: without other couriers there is no work to take over."""
+        """Do nothing: without other couriers no message is taken over."""
 
     def complete(self, journal_number: int) -> None:
-        """Do nothing: no message waits."""
+        """Do nothing: the queue is always empty."""
--- a/winchspan/delivery/admission_queue.py
+++ b/winchspan/delivery/admission_queue.py
@@ -1,7 +1,7 @@
-"""Lets messages in to the scheduler where other couriers hold replicas.
+"""Admission of messages to the scheduler where other couriers hold replicas.
 
-Messages wait behind other couriers' messages with the same ordering or idempotency key, and messages that are
-taken over come in at a pace that leaves capacity for the courier's own.
+A message waits behind other couriers' messages with the same ordering or idempotency key. Messages that are
+taken over are admitted at a rate that leaves capacity for the courier's own messages.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 from winchspan.runtime.clock import ms_to_ns, ns_to_ms
 from winchspan.runtime.timers import Timer
 
-TAKEOVER_SHARE: Final = 0.5  # of the messages that may be held, for those taken over at one time
-POLL_INTERVAL_MS: Final = 50.0  # between two checks of the waiting messages
-EXPIRY_MARGIN_MS: Final = 100.0  # before its deadline, by which a message that still waits is ended
+TAKEOVER_SHARE: Final = 0.5  # maximum share of all held messages that were taken over
+POLL_INTERVAL_MS: Final = 50.0  # between two checks of the queue
+EXPIRY_MARGIN_MS: Final = 100.0  # before its deadline, at which a waiting message is completed
 
 ArrivalEvent: TypeAlias = api.MessageArrived | api.MessageRecovered
 
@@ -32,22 +32,22 @@
 
     message: AcceptedMessage
     event: ArrivalEvent
-    since_ms: float
+    enqueued_ms: float
 
 
 @dataclass(slots=True, frozen=True)
 class _BacklogMessage:
-    """A message that was taken over and waits for capacity."""
+    """A message that was taken over from another courier and waits for capacity."""
 
     message: AcceptedMessage
     event: api.MessageRecovered
-    since_ms: float
+    enqueued_ms: float
     message_class: api.MessageClass | None
     origin: str
 
 
 class AdmissionQueue:
-    """Messages that the scheduler does not know of yet."""
+    """Accepted messages that have not been posted to the scheduler yet."""
 
     def __init__(self, context: EngineContext, events: EventQueue, answers: FinalAnswers) -> None:
         self._context = context
@@ -57,73 +57,73 @@
         self._answers = answers
         self._waiting: dict[int, _WaitingMessage] = {}  # by journal number
         self._backlog: deque[_BacklogMessage] = deque()
-        self._admitted_takeovers: set[int] = set()  # journal numbers of those that were let in
+        self._admitted_takeovers: set[int] = set()  # journal numbers of open messages that were admitted
         self._timer: Timer | None = None
 
     @property
     def backlog_count(self) -> int:
-        """How many messages of other couriers have been taken over and not let in yet."""
+        """Number of messages that were taken over from other couriers and are not admitted yet."""
         return len(self._backlog)
 
-    def enter(
+    def admit(
         self,
         message: AcceptedMessage,
         event: ArrivalEvent,
         message_class: api.MessageClass | None,
         origin: str | None = None,
     ) -> None:
-        """Let a message in, now or once no other courier's message goes first.
+        """Admit a message once no other courier's message has to go first.
 
         Args:
             message: the message.
-            event: what the scheduler is told.
-            message_class: its class, if that is known.
-            origin: the courier that accepted it; empty: this one, in a previous incarnation; None: it is new.
+            event: the event that is posted to the scheduler.
+            message_class: its class; None if it is unknown.
+            origin: the courier that accepted it; empty: this courier before a restart; None: it is new.
         """
         arrived = event.arrived if isinstance(event, api.MessageRecovered) else event
         is_idempotent = message_class is not None and message_class.effect is api.Effect.REPEATABLE
         key = arrived.key if message_class is None or message_class.ordered else None
         self._waiting[message.journal_number] = _WaitingMessage(message, event, self._clock.now())
-        self._replication.enter(
+        self._replication.wait_for_predecessors(
             message.journal_number,
             message.class_name,
             key,
             "" if is_idempotent else message.idempotency_key,
             origin,
-            partial(self._admit, message.journal_number),
+            partial(self._post_event, message.journal_number),
         )
         self._schedule_poll()
 
-    def take_over(
+    def admit_taken_over(
         self,
         message: AcceptedMessage,
         event: api.MessageRecovered,
         message_class: api.MessageClass | None,
         origin: str,
     ) -> None:
-        """Let in a message of another courier's work, as soon as there is capacity for it."""
+        """Admit a message that was taken over from another courier, once there is capacity for it."""
         self._backlog.append(_BacklogMessage(message, event, self._clock.now(), message_class, origin))
         self._admit_backlog()
         self._schedule_poll()
 
     def complete(self, journal_number: int) -> None:
-        """Stop waiting for a message that is completed."""
+        """Remove a completed message from the queue."""
         if self._waiting.pop(journal_number, None) is not None:
-            self._replication.forget(journal_number)
+            self._replication.cancel_wait(journal_number)
         self._admitted_takeovers.discard(journal_number)
 
-    def _admit(self, journal_number: int, earlier_run: tuple[float, str] | None) -> None:
-        """Tell the scheduler of a message that waits for nothing any more.
+    def _post_event(self, journal_number: int, earlier_run: tuple[float, str] | None) -> None:
+        """Post the event of a message that no longer has to wait.
 
         Args:
-            journal_number: the message.
-            earlier_run: how many ms ago, and in which zone, a message with the same idempotency key may have
-                run; None if none has.
+            journal_number: the message's number in the journal.
+            earlier_run: age in ms and zone of an attempt that may have run with the same idempotency key;
+                None if there is none.
         """
         waiting = self._waiting.pop(journal_number, None)
         if waiting is not None:
-            waited_ms = self._clock.now() - waiting.since_ms
-            self._events.post(_after_waiting(waiting.event, waited_ms, earlier_run))
+            waited_ms = self._clock.now() - waiting.enqueued_ms
+            self._events.post(_event_after_wait(waiting.event, waited_ms, earlier_run))
 
     def _admit_backlog(self) -> None:
         while self._backlog and len(self._admitted_takeovers) < self._takeover_limit():
@@ -131,8 +131,8 @@
             if entry.message.is_completed:
                 continue
             self._admitted_takeovers.add(entry.message.journal_number)
-            event = _after_waiting(entry.event, self._clock.now() - entry.since_ms)
-            self.enter(entry.message, event, entry.message_class, entry.origin)
+            event = _event_after_wait(entry.event, self._clock.now() - entry.enqueued_ms)
+            self.admit(entry.message, event, entry.message_class, entry.origin)
 
     def _takeover_limit(self) -> float:
         return max(1, TAKEOVER_SHARE * self._context.settings.max_held)
@@ -142,7 +142,7 @@
             self._timer = self._context.timers.call_later(POLL_INTERVAL_MS, self._poll)
 
     def _poll(self) -> None:
-        """End the messages whose time is up, and let in what has capacity now."""
+        """Complete messages that are about to expire, and admit messages that there is capacity for."""
         self._timer = None
         expires_by_ms = self._clock.now() + EXPIRY_MARGIN_MS
         entries: list[_WaitingMessage | _BacklogMessage] = [*self._waiting.values(), *self._backlog]
@@ -162,31 +162,31 @@
     )
 
 
-def _after_waiting(
+def _event_after_wait(
     event: ArrivalEvent, waited_ms: float, earlier_run: tuple[float, str] | None = None
 ) -> ArrivalEvent:
-    """Return what the scheduler is told of a message that has waited.
+    """Return the event of a message that has waited, with its times adjusted.
 
     Args:
-        event: what it would have been told before.
-        waited_ms: how long the message has waited.
-        earlier_run: how many ms ago, and in which zone, a message with the same idempotency key may have run;
-            None if none has.
+        event: the event as of when the message was enqueued.
+        waited_ms: time that the message has waited.
+        earlier_run: age in ms and zone of an attempt that may have run with the same idempotency key; None if
+            there is none.
     """
     if waited_ms <= 0.0 and earlier_run is None:
         return event
     recovered = event if isinstance(event, api.MessageRecovered) else api.MessageRecovered(event)
-    left_ns = max(0, recovered.arrived.remaining_ns - ms_to_ns(waited_ms))
-    arrived = replace(recovered.arrived, remaining_ns=left_ns)
-    ran_ago_ns = recovered.executed_ago_ns
-    ran_zone = recovered.executed_zone
-    if ran_ago_ns is not None:
-        ran_ago_ns += ms_to_ns(waited_ms)
+    remaining_ns = max(0, recovered.arrived.remaining_ns - ms_to_ns(waited_ms))
+    arrived = replace(recovered.arrived, remaining_ns=remaining_ns)
+    executed_ago_ns = recovered.executed_ago_ns
+    executed_zone = recovered.executed_zone
+    if executed_ago_ns is not None:
+        executed_ago_ns += ms_to_ns(waited_ms)
     if earlier_run is not None:
         earlier_ms, earlier_zone = earlier_run
-        if ran_ago_ns is None or earlier_ms > ns_to_ms(ran_ago_ns):
-            ran_ago_ns = ms_to_ns(earlier_ms)
-            ran_zone = earlier_zone
-    if isinstance(event, api.MessageArrived) and ran_ago_ns is None:
+        if executed_ago_ns is None or earlier_ms > ns_to_ms(executed_ago_ns):
+            executed_ago_ns = ms_to_ns(earlier_ms)
+            executed_zone = earlier_zone
+    if isinstance(event, api.MessageArrived) and executed_ago_ns is None:
         return arrived
-    return replace(recovered, arrived=arrived, executed_ago_ns=ran_ago_ns, executed_zone=ran_zone)
+    return replace(recovered, arrived=arrived, executed_ago_ns=executed_ago_ns, executed_zone=executed_zone)
--- a/winchspan/delivery/attempt_results.py
+++ b/winchspan/delivery/attempt_results.py
@@ -1,4 +1,4 @@
-"""Records how attempts ended, and tells the scheduler."""
+"""Records the results of attempts and reports them to the scheduler."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 @dataclass(slots=True)
 class _JournalUpdates:
-    """What the journal must record of one call, gathered to be written together."""
+    """Journal records of one call's results, gathered to be written together."""
 
-    ended: list[int] = field(default_factory=list)
-    returned: dict[bool, list[int]] = field(default_factory=dict)  # by whether the attempt may have run
+    completed: list[int] = field(default_factory=list)
+    ended_attempts: dict[bool, list[int]] = field(default_factory=dict)  # by whether the attempt may have run
 
 
 class AttemptResults:
@@ -48,7 +48,7 @@
         self._answers = answers
 
     def record(self, attempt: DeliveryAttempt, results: list[AttemptResult]) -> None:
-        """Record the end of an attempt.
+        """Record the results of an attempt.
 
         Args:
             attempt: the attempt.
@@ -63,10 +63,10 @@
                 continue
             message.attempt = None
             if message.is_completed and result.outcome is api.Outcome.DELIVERED:
-                self._context.replication.delivered(message.id)
+                self._context.replication.report_delivered(message.id)
             self._record_history(message, attempt, result, ns_to_ms(latency_ns))
             is_final = result.is_final or message.is_completed
-            self._settle(message, result, updates)
+            self._apply_result(message, result, updates)
             self._events.post(
                 api.AttemptCompleted(
                     message.id,
@@ -77,7 +77,7 @@
                     is_final,
                     ms_to_ns(result.retry_after_ms),
                     result.no_slot,
-                    result.limit_left,
+                    result.limit_remaining,
                     result.limit_rate,
                 )
             )
@@ -98,7 +98,7 @@
     def _record_history(
         self, message: AcceptedMessage, attempt: DeliveryAttempt, result: AttemptResult, latency_ms: float
     ) -> None:
-        """Add an attempt to the failure history, unless nothing of the message will be stored."""
+        """Add an attempt to the failure history, unless its result rules out a dead letter."""
         if message.attempt_history is None:
             return
         if result.is_final and not message.is_completed and not message.redelivery_of:
@@ -113,24 +113,26 @@
             )
         )
 
-    def _settle(self, message: AcceptedMessage, result: AttemptResult, updates: _JournalUpdates) -> None:
-        """Note for the journal, the metrics or the dead-letter store what a result means for a message."""
+    def _apply_result(
+        self, message: AcceptedMessage, result: AttemptResult, updates: _JournalUpdates
+    ) -> None:
+        """Apply a result to the journal updates, the metrics or the dead-letter store."""
         if message.is_completed:
             return
         is_delivered = result.outcome is api.Outcome.DELIVERED
         if not result.is_final:
             may_have_run = result.outcome in MAY_HAVE_RUN
-            updates.returned.setdefault(may_have_run, []).append(message.journal_number)
+            updates.ended_attempts.setdefault(may_have_run, []).append(message.journal_number)
         elif message.redelivery_of:
             self._answers.settle_redelivery_result(message, is_delivered=is_delivered, state=STATE_FAILED)
         else:
-            updates.ended.append(message.journal_number)
+            updates.completed.append(message.journal_number)
             self._context.metrics.count_completed(
                 "answered" if is_delivered else "errored", message.class_name
             )
 
     def _write(self, updates: _JournalUpdates) -> None:
-        if updates.ended:
-            self._journal.record_completed(updates.ended)
-        for may_have_run, numbers in updates.returned.items():
-            self._journal.record_attempt_returned(numbers, may_have_run)
+        if updates.completed:
+            self._journal.record_completed(updates.completed)
+        for may_have_run, numbers in updates.ended_attempts.items():
+            self._journal.record_attempt_ended(numbers, may_have_run)
--- a/winchspan/delivery/attempts.py
+++ b/winchspan/delivery/attempts.py
@@ -15,13 +15,13 @@
 from winchspan.delivery.messages import AcceptedMessage, AttemptResult, DeliveryAttempt, OutgoingMessage
 from winchspan.runtime.clock import ns_to_ms
 
-# How long a call may outlast the deadline of a message in it: at 300 ms that message counts as lost.
-CALL_OVERTIME_MS: Final = 250.0
+# Upper bound on how long a call outlasts a member's deadline: 300 ms past it the message counts as lost.
+MAX_CALL_OVERRUN_MS: Final = 250.0
 
 
 @dataclass(slots=True)
 class ScheduledMessage:
-    """A message that the scheduler sends to an endpoint."""
+    """A message, and the scheduler's command to start an attempt of it."""
 
     message: AcceptedMessage
     command: api.StartAttempt
@@ -33,16 +33,16 @@
 
     attempt: DeliveryAttempt
     messages: list[OutgoingMessage]
-    until_ms: float
-    begin_by_ms: float | None
+    deadline_ms: float
+    start_by_ms: float | None
 
 
 class AttemptRunner:
     """Owns the attempts in flight.
 
     Attributes:
-        in_flight_count: attempts that have not ended, those whose call has not started included.
-        awaiting_replication: attempts, by identity, whose start is not replicated yet.
+        in_flight_count: number of attempts that have not ended, including those whose call has not started.
+        awaiting_replication: attempts whose start record is not replicated yet, by `id()`.
     """
 
     def __init__(self, context: EngineContext, table: MessageTable, results: AttemptResults) -> None:
@@ -57,10 +57,10 @@
         self.awaiting_replication: dict[int, DeliveryAttempt] = {}
 
     def start(self, endpoint: int, scheduled: list[ScheduledMessage], now_ms: float) -> None:
-        """Start one dispatch cycle's attempts at an endpoint, as many messages in a call as it takes."""
+        """Start one dispatch cycle's attempts at an endpoint, in calls as large as it accepts."""
         name, zone, messages_per_call = self._transport.describe(endpoint)
         for first in range(0, len(scheduled), messages_per_call):
-            batch = _lasting_first(scheduled[first : first + messages_per_call])
+            batch = _with_longest_deadline_first(scheduled[first : first + messages_per_call])
             attempt = self._create_attempt(endpoint, batch, now_ms)
             numbers = [item.message.journal_number for item in batch]
             if self._journal.record_attempt_started(numbers, name, zone, self._clock.persistent_unix_ms()):
@@ -72,7 +72,7 @@
                 )
                 self._start_once_replicated(_prepare_call(attempt, batch))
             else:
-                # Without a record a restart would not know that it may have run: it must not be sent.
+                # Must not be sent: without a record, recovery would treat it as an attempt that never ran.
                 self._report_soon(attempt, api.Outcome.NOT_SENT)
 
     def _create_attempt(self, endpoint: int, batch: list[ScheduledMessage], now_ms: float) -> DeliveryAttempt:
@@ -87,12 +87,12 @@
 
     def _start_once_replicated(self, call: _PreparedCall) -> None:
         self.awaiting_replication[id(call.attempt)] = call.attempt
-        self._replication.secure(
+        self._replication.when_replicated(
             partial(self._start_call, call), partial(self.withdraw, call.attempt, api.Outcome.NOT_SENT)
         )
 
     def _start_call(self, call: _PreparedCall) -> None:
-        """Start a call whose record is replicated, unless it was withdrawn meanwhile."""
+        """Start a call whose start record is replicated, unless it was withdrawn meanwhile."""
         attempt = call.attempt
         self.awaiting_replication.pop(id(attempt), None)
         if attempt.is_withdrawn:
@@ -103,14 +103,14 @@
         attempt.call = self._transport.start(
             attempt.endpoint,
             call.messages,
-            call.until_ms,
-            call.begin_by_ms,
+            call.deadline_ms,
+            call.start_by_ms,
             partial(self.complete, attempt),
             self._is_wanted,
         )
 
     def _may_still_start(self, attempt: DeliveryAttempt) -> bool:
-        """Return whether nothing came in between while the attempt waited to be replicated."""
+        """Return whether the engine still runs and all members are open, after the wait for replication."""
         if self._context.is_frozen or self._context.is_suspended:
             return False
         members = [self._table.get(handle) for handle, _ in attempt.members]
@@ -122,7 +122,7 @@
         return message is not None and not message.is_completed
 
     def withdraw(self, attempt: DeliveryAttempt, outcome: api.Outcome) -> None:
-        """Take back an attempt whose call has not started; its end is reported a loop iteration later."""
+        """Withdraw an attempt whose call has not started; its end is reported in the next loop iteration."""
         if attempt.is_withdrawn:
             return
         attempt.is_withdrawn = True
@@ -134,7 +134,7 @@
         self._context.call_soon(partial(self.complete, attempt, results))
 
     def complete(self, attempt: DeliveryAttempt, results: list[AttemptResult]) -> None:
-        """Record the end of an attempt.
+        """Record the results of an attempt.
 
         Args:
             attempt: the attempt.
@@ -144,7 +144,7 @@
         self._results.record(attempt, results)
 
     def cancel(self, message_id: str, attempt_number: int) -> None:
-        """Stop waiting for a message's attempt; its call is closed once none of its members waits for it."""
+        """Cancel a message's attempt; the call is closed once all of its members are cancelled."""
         message = self._table.find(message_id)
         attempt = message.attempt if message is not None else None
         if message is None or attempt is None or (message.handle, attempt_number) not in attempt.members:
@@ -152,7 +152,7 @@
         attempt.cancelled_handles.add(message.handle)
         if len(attempt.cancelled_handles) < len(attempt.members):
             if attempt.call is not None:
-                attempt.call.lessen()
+                attempt.call.drop_unwanted_messages()
         elif attempt.call is not None:
             attempt.call.cancel()
         elif id(attempt) in self.awaiting_replication:
@@ -166,7 +166,7 @@
         self._transport.recall(endpoint)
 
     def cancel_all(self) -> int:
-        """Stop waiting for all attempts in flight, which may have run; return how many there were."""
+        """Cancel all attempts in flight, which may have run, and return their number."""
         attempts = self._table.attempts_in_flight().values()
         cancelled = [attempt for attempt in attempts if not attempt.is_withdrawn]
         for attempt in cancelled:
@@ -177,34 +177,36 @@
         return len(cancelled)
 
 
-def _call_limit_ms(batch: list[ScheduledMessage]) -> float:
-    """Return until when a call is waited for, on the engine's clock.
+def _call_deadline_ms(batch: list[ScheduledMessage]) -> float:
+    """Return the time at which a call times out, on the engine's clock.
 
-    It waits as long as its most patient member: a less patient one ends by its deadline, when the scheduler
-    completes the message itself. But no answer is waited for once one member would count as lost.
+    This is the latest limit of its members: the scheduler itself completes a member with an earlier deadline.
+    The call times out before any member would count as lost.
     """
-    until_ms = max(min(ns_to_ms(item.command.abandon_at_ns), item.message.deadline_ms) for item in batch)
+    latest_limit_ms = max(
+        min(ns_to_ms(item.command.abandon_at_ns), item.message.deadline_ms) for item in batch
+    )
     first_deadline_ms = min(item.message.deadline_ms for item in batch)
-    return min(until_ms, first_deadline_ms + CALL_OVERTIME_MS)
+    return min(latest_limit_ms, first_deadline_ms + MAX_CALL_OVERRUN_MS)
 
 
-def _lasting_first(batch: list[ScheduledMessage]) -> list[ScheduledMessage]:
-    """Return the messages of a call, with one at the head that does not end while the call may be out.
+def _with_longest_deadline_first(batch: list[ScheduledMessage]) -> list[ScheduledMessage]:
+    """Return the messages of a call, beginning with one whose deadline does not pass during the call.
 
-    An answer may be void for all of them if the time of the first one is over by then.
+    An endpoint's response may be void for all messages if the deadline of the first one has passed.
     """
-    if batch[0].message.deadline_ms >= _call_limit_ms(batch):
+    if batch[0].message.deadline_ms >= _call_deadline_ms(batch):
         return batch
-    lasting = max(batch, key=lambda item: item.message.deadline_ms)
-    return [lasting, *(item for item in batch if item is not lasting)]
+    longest = max(batch, key=lambda item: item.message.deadline_ms)
+    return [longest, *(item for item in batch if item is not longest)]
 
 
 def _prepare_call(attempt: DeliveryAttempt, batch: list[ScheduledMessage]) -> _PreparedCall:
-    """Choose a call's time limits."""
+    """Return a call with its messages and time limits."""
     limits_ms = [ns_to_ms(item.command.send_before_ns) for item in batch if item.command.send_before_ns]
     return _PreparedCall(
         attempt,
         [OutgoingMessage(item.message.id, item.message.idempotency_key, item.message.body) for item in batch],
-        _call_limit_ms(batch),
+        _call_deadline_ms(batch),
         min(limits_ms, default=None),
     )
