--- a/winchspan/delivery/context.py
+++ b/winchspan/delivery/context.py
@@ -1,4 +1,4 @@
-"""What the components of one delivery engine share: ports, and state that a reload or upgrade replaces."""
+"""Shared state of a delivery engine's components: ports, and objects that a reload or upgrade replaces."""
 
 from __future__ import annotations
 
@@ -29,28 +29,28 @@
 class EngineContext:
     """Ports and replaceable state of one engine.
 
-    A component may bind a port once. The attributes from `overload_control` on are replaced while the engine
-    runs: a component reads them here each time.
+    Components may keep references to ports. The attributes from `overload_control` on are replaced while the
+    engine runs: a component reads them from the context each time.
 
     Attributes:
-        clock: reads the time.
-        timers: calls back at a time.
+        clock: the engine's clock.
+        timers: schedules callbacks.
         journal: makes messages and attempts durable.
         transport: carries attempts to endpoints.
         notifier: notifies the platform of messages that were not delivered.
         call_soon: runs a callback in the event loop's next iteration.
         metrics: counts final answers.
-        poll_monitor: knows when the sockets were last polled.
+        poll_monitor: records when the sockets were last polled.
         replication: replicates the journal; inert where `is_replicated` is False.
         is_replicated: whether other couriers hold replicas of the journal.
         dead_letters: stores messages that were not delivered; inert where `stores_dead_letters` is False.
         stores_dead_letters: whether failure histories are recorded.
-        overload_control: damps retry storms.
+        overload_control: limits retry storms.
         settings: the settings in force.
         classes: the message classes in force, and earlier ones that open messages were accepted under.
         scheduler: decides on attempts and final answers.
-        is_frozen: nothing is started any more.
-        is_suspended: nothing is decided for now; events are gathered.
+        is_frozen: no further attempt is started.
+        is_suspended: no decision is made for now; events are queued.
     """
 
     clock: Clock
@@ -79,7 +79,7 @@
         Args:
             settings: the settings in force at the start.
             seed: seed of the scheduler's random choices.
-            ports: the engine's surroundings.
+            ports: the engine's ports.
         """
         settings = with_attempt_limits(settings)
         classes = dict(settings.classes)
--- a/winchspan/delivery/dispatch_cycle.py
+++ b/winchspan/delivery/dispatch_cycle.py
@@ -1,4 +1,4 @@
-"""The dispatch cycle: hands gathered events to the scheduler and carries out its commands."""
+"""The dispatch cycle: passes queued events to the scheduler and executes its commands."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class DispatchCycle:
-    """Drives the scheduler, once in a step of the settings.
+    """Runs the scheduler, normally once in each scheduling step.
 
     Attributes:
-        decided_at_ms: the time that the last decisions went by, on the engine's clock.
+        decided_at_ms: the time that the last decisions are based on, on the engine's clock.
     """
 
     def __init__(
@@ -41,10 +41,10 @@
         events.run_cycle = self.run
 
     def run(self, at_ms: float | None = None) -> None:
-        """Let the scheduler handle all gathered events, and carry out its commands.
+        """Let the scheduler handle all queued events, and execute its commands.
 
         Args:
-            at_ms: the time to decide by, on the engine's clock; None: when the sockets were last polled.
+            at_ms: the time to base decisions on, on the engine's clock; None: the last poll of the sockets.
         """
         self._events.is_cycle_due = False
         if self._context.is_frozen or self._context.is_suspended or not self._events.pending:
@@ -54,7 +54,7 @@
         self.decided_at_ms = now_ms
         try:
             commands = self._context.scheduler.handle(ms_to_ns(now_ms), events)
-        except Exception:  # a fault in one decision must not end the courier
+        except Exception:  # a fault in one decision must not stop the courier
             logger.exception("dispatch cycle failed on {} events", len(events))
             return
         scheduled_by_endpoint: dict[int, list[ScheduledMessage]] = {}
@@ -62,19 +62,19 @@
             if isinstance(command, api.StartAttempt):
                 self._schedule(command, scheduled_by_endpoint)
             else:
-                self._carry_out(command, now_ms)
+                self._execute(command, now_ms)
         for endpoint, scheduled in scheduled_by_endpoint.items():
             self._attempts.start(endpoint, scheduled, self._context.clock.now())
 
     def _schedule(
         self, command: api.StartAttempt, scheduled_by_endpoint: dict[int, list[ScheduledMessage]]
     ) -> None:
-        """Gather an attempt: those of one cycle at one endpoint may share calls."""
+        """Collect an attempt: attempts of one cycle at the same endpoint may share calls."""
         message = self._table.find(command.message)
         if message is not None:
             scheduled_by_endpoint.setdefault(command.endpoint, []).append(ScheduledMessage(message, command))
 
-    def _carry_out(self, command: api.Command, now_ms: float) -> None:
+    def _execute(self, command: api.Command, now_ms: float) -> None:
         match command:
             case api.RejectMessage(message, retry_after_ns, reason):
                 self._answers.finish(message, STATE_RETURNED, int(ns_to_ms(retry_after_ns)), reason)
@@ -102,11 +102,11 @@
         self._context.journal.record_outage(record)
 
     def _decision_time_ms(self) -> float:
-        """Return the time to decide by: when the sockets were last polled.
+        """Return the time to base decisions on: the end of the last poll of the sockets.
 
-        A cycle may be held up after the poll. What came meanwhile is not read yet, and a call that has its
-        answer must not be taken for overdue. No backoff or window ends early by this: they were counted from
-        such a time, too, or had come by then.
+        A cycle may be delayed after the poll. Responses that arrive in between are not read yet, and their
+        calls must not be judged as overdue. No backoff or window ends early by this: they start at such a
+        poll time as well, or at an earlier one.
         """
         polled_at_ms = self._context.poll_monitor.last_poll_ms
         return max(self.decided_at_ms, min(self._context.clock.now(), polled_at_ms))
--- a/winchspan/delivery/engine.py
+++ b/winchspan/delivery/engine.py
@@ -1,8 +1,8 @@
-"""The delivery engine: accepts messages, drives the scheduler, and gives each message its one final answer.
+"""The delivery engine: accepts messages, runs the scheduler, and gives each message exactly one final answer.
 
-The engine decides nothing. What happens is written to the journal and gathered as events; once in a step of
-the settings the scheduler handles them, and the engine carries out its commands. It knows no protocol: it
-reaches its surroundings through the ports in `winchspan.delivery.ports`.
+The engine makes no scheduling decisions. It records each change in the journal and queues it as an event.
+Once in each scheduling step the scheduler handles the events, and the engine executes its commands. The
+engine is independent of network protocols: it uses the ports in `winchspan.delivery.ports`.
 """
 
 from __future__ import annotations
@@ -40,15 +40,15 @@
 
 
 class DeliveryEngine:
-    """Wires the engine's components, and is what other packages call."""
+    """Facade of the engine's components for other packages."""
 
     def __init__(self, settings: api.Settings, seed: int, ports: EnginePorts) -> None:
-        """Create an engine that holds no messages.
+        """Create an engine without messages.
 
         Args:
             settings: the settings in force.
             seed: seed of the scheduler's random choices.
-            ports: the engine's surroundings.
+            ports: the engine's ports.
         """
         context = EngineContext.create(settings, seed, ports)
         table = MessageTable()
@@ -77,43 +77,43 @@
     # ---- state -------------------------------------------------------------------------------------------
     @property
     def in_flight_count(self) -> int:
-        """How many attempts are in flight."""
+        """Number of attempts in flight."""
         return self._attempts.in_flight_count
 
     @property
     def held_count(self) -> int:
-        """How many messages are accepted and not completed."""
+        """Number of messages that are accepted and not completed."""
         return self._table.held_count
 
     @property
     def is_busy(self) -> bool:
-        """Whether this process has anything left to do."""
+        """Whether attempts are in flight, or messages are open that this process may still attempt."""
         if self._attempts.in_flight_count > 0:
             return True
         return self._table.held_count > 0 and not self._context.is_frozen
 
     @property
     def metrics(self) -> Metrics:
-        """The counts of final answers."""
+        """The counters of final answers."""
         return self._context.metrics
 
     @property
     def overload_control(self) -> api.OverloadControl:
-        """The overload control in force; an upgrade may bring that of the previous process."""
+        """The overload control in force; an upgrade may replace it by that of the previous process."""
         return self._context.overload_control
 
     @property
     def scheduler(self) -> Scheduler:
-        """The scheduler in force; an upgrade brings that of the previous process."""
+        """The scheduler in force; an upgrade replaces it by that of the previous process."""
         return self._context.scheduler
 
     @property
     def awaiting_replication(self) -> dict[int, DeliveryAttempt]:
-        """Attempts, by identity, whose start is not replicated yet."""
+        """Attempts whose start record is not replicated yet, by `id()`."""
         return self._attempts.awaiting_replication
 
     def status(self) -> dict[str, Any]:
-        """Return the messages held and the attempts in flight, under the names of the status page."""
+        """Return the counts of held messages and attempts in flight, under the keys of the status page."""
         destinations = {
             str(destination.id): {
                 "queue": len(destination.queue),
@@ -132,7 +132,7 @@
         }
 
     def is_avoided(self, endpoint: int) -> bool:
-        """Return whether the scheduler sends nothing but trials to an endpoint now."""
+        """Return whether an endpoint is unusable, or gets only trial calls now."""
         state = self._context.scheduler.endpoints.get(endpoint)
         return state is None or not state.is_usable or state.is_open
 
@@ -141,8 +141,8 @@
         """Accept a message and return its handle.
 
         Raises:
-            RejectedError: there is no capacity for it now.
-            BadRequestError: it is invalid.
+            RejectedError: there is no capacity for the message now.
+            BadRequestError: the message is invalid.
         """
         return self._intake.accept(submitted)
 
@@ -151,11 +151,11 @@
         return self._intake.redeliver(message)
 
     def withdraw(self, handle: int) -> None:
-        """Drop a message whose client has gone without an answer: no final answer is owed for it."""
+        """Drop a message whose client has disconnected without a response: it gets no final answer."""
         self._intake.withdraw(handle)
 
-    def runs_once(self, handle: int) -> bool:
-        """Return whether a message that is held must run at most once."""
+    def is_at_most_once(self, handle: int) -> bool:
+        """Return whether a held message must run at most once."""
         message = self._table.get(handle)
         if message is None:
             return False
@@ -163,7 +163,7 @@
         return message_class is not None and message_class.effect is api.Effect.ONCE
 
     def update_endpoints(self, update: api.EndpointsUpdated) -> None:
-        """Tell the scheduler of a change in the endpoint list."""
+        """Report a change of the endpoint list to the scheduler."""
         self._events.post(update)
 
     # ---- lifecycle ---------------------------------------------------------------------------------------
@@ -177,40 +177,40 @@
         self._reconfiguration.apply(settings)
 
     def freeze(self) -> None:
-        """Start nothing more; attempts in flight are still completed and recorded."""
+        """Start no further attempts; attempts in flight are still completed and recorded."""
         self._context.is_frozen = True
 
     def cancel_in_flight(self) -> int:
-        """Stop waiting for all attempts in flight, which may have run; return how many there were."""
+        """Cancel all attempts in flight, which may have run, and return their number."""
         return self._attempts.cancel_all()
 
     # ---- failover ----------------------------------------------------------------------------------------
     def adopt(self, entries: list[JournalEntry]) -> None:
-        """Resume messages of another courier's work, which are entries of this journal from now on."""
+        """Resume messages that were taken over from another courier into this journal."""
         self._recovery.adopt(entries, self._admission)
         self._cycle.run()
 
     def complete_delivered(self, owner: str, message_ids: list[str]) -> int:
-        """End messages that the courier which accepted them has delivered after all; return how many."""
+        """Complete messages that their previous owner has delivered after all; return their number."""
         return self._release.complete_delivered(owner, message_ids)
 
     def release_all(self) -> None:
-        """Drop all messages, which another courier has taken over."""
+        """Drop all messages, because another courier has taken them over."""
         self._release.release_all()
 
     # ---- upgrade -----------------------------------------------------------------------------------------
-    def suspend(self, still: bool) -> None:
-        """Decide and start nothing, or resume; events that come meanwhile are gathered."""
-        self._hand_over.set_suspended(still)
+    def suspend(self, is_suspended: bool) -> None:
+        """Suspend or resume decisions and attempts; events are queued during a suspension."""
+        self._hand_over.set_suspended(is_suspended)
 
     def set_suspended(self, is_suspended: bool) -> None:
-        """Suspend or resume, where that is a change."""
+        """Suspend or resume, unless the engine already is in that state."""
         if is_suspended != self._context.is_suspended:
             self.suspend(is_suspended)
 
     def is_settled(self) -> bool:
-        """Return whether the transport has all attempts in flight, and the journal all that has happened."""
-        if self._journal_retry.is_behind:
+        """Return whether all calls in flight have started, and the journal has no backlog."""
+        if self._journal_retry.has_backlog:
             return False
         attempts = self._table.attempts_in_flight().values()
         return all(attempt.call is not None for attempt in attempts)
@@ -222,16 +222,16 @@
     def import_state(
         self,
         state: EngineState,
-        rejoin: Callable[[PendingCall, Callable[[list[AttemptResult]], None]], None],
+        resume_call: Callable[[PendingCall, Callable[[list[AttemptResult]], None]], None],
     ) -> None:
-        """Go on where another process has stopped; see `HandOver.import_state`."""
-        self._hand_over.import_state(state, rejoin)
+        """Continue with another process's state; see `HandOver.import_state`."""
+        self._hand_over.import_state(state, resume_call)
 
 
 def _create_admission(context: EngineContext, events: EventQueue, answers: FinalAnswers) -> Admission:
-    """Return the admission queue, or its inert form where there is no other courier to wait for."""
+    """Return the admission queue, or direct admission if the journal is not replicated."""
     if not context.is_replicated:
         return DirectAdmission(events)
-    from winchspan.delivery.admission_queue import AdmissionQueue  # loaded where it is needed only
+    from winchspan.delivery.admission_queue import AdmissionQueue  # imported only where it is used
 
     return AdmissionQueue(context, events, answers)
--- a/winchspan/delivery/engine_state.py
+++ b/winchspan/delivery/engine_state.py
@@ -1,4 +1,4 @@
-"""What one process knows of the messages in hand, as the next one takes it over in an upgrade."""
+"""State of a delivery engine that an upgrade hands over to the next process."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 @dataclass(slots=True)
 class EngineState:
-    """All that a delivery engine knows beside its journal.
+    """The state of a delivery engine that is not in its journal.
 
     Attributes:
-        scheduler: the decisions, with what they know of destinations, endpoints and calls.
-        messages: messages taken on, until nothing more is owed for them and no attempt is in flight.
-        handles_by_id: the handle in `messages` of each message that is still open.
-        held_count: messages whose final answer the scheduler still owes.
-        in_flight_count: attempts in flight.
-        pending_events: what the scheduler has not been told yet, in order.
+        scheduler: the scheduler, with its state of destinations, endpoints and calls.
+        messages: accepted messages that are not completed, or have an attempt in flight.
+        handles_by_id: handles in `messages`, by message identifier.
+        held_count: number of messages that are not completed.
+        in_flight_count: number of attempts in flight.
+        pending_events: events that the scheduler has not handled yet, in order.
     """
 
     scheduler: Scheduler
--- a/winchspan/delivery/event_queue.py
+++ b/winchspan/delivery/event_queue.py
@@ -1,4 +1,4 @@
-"""Gathers the scheduler's events and requests the dispatch cycle that hands them over."""
+"""Queues the scheduler's events and requests the dispatch cycle that passes them on."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class EventQueue:
-    """Events that the scheduler has not seen yet, in order.
+    """Events that the scheduler has not handled yet, in order.
 
     Attributes:
         pending: the events.
-        is_cycle_due: a dispatch cycle is scheduled at the end of the current step of the settings.
+        is_cycle_due: whether a dispatch cycle is scheduled at the end of the current scheduling step.
         run_cycle: runs a dispatch cycle.
     """
 
@@ -29,9 +29,9 @@
         self.run_cycle: Callable[[], None] = lambda: None
 
     def post(self, event: api.Event) -> None:
-        """Gather an event; all that come within one step of the settings are handled together."""
+        """Queue an event; all events of one scheduling step are handled together."""
         self.pending.append(event)
-        if isinstance(event, api.EndpointsUpdated):  # an endpoint that drains must get nothing more
+        if isinstance(event, api.EndpointsUpdated):  # a draining endpoint must not get further calls
             self._context.call_soon(self.run_cycle)
         elif not self.is_cycle_due:
             self.is_cycle_due = True
@@ -46,12 +46,12 @@
         return events
 
     def refresh(self, events: list[api.Event], suspended_at_ms: float) -> list[api.Event]:
-        """Return events as they are after they have waited while the engine was suspended.
+        """Return events with their times adjusted for a suspension of the engine.
 
         Messages keep their deadlines: without this they would end too late by the length of the suspension.
 
         Args:
-            events: events that were gathered meanwhile.
+            events: events that were queued during the suspension.
             suspended_at_ms: when the suspension began, on the engine's clock.
         """
         now = self._clock.now()
@@ -61,11 +61,13 @@
         if isinstance(event, api.MessageArrived):
             return self._with_time_left(event, now)
         if isinstance(event, api.MessageRecovered):
-            ran_ago_ns = event.executed_ago_ns
-            if ran_ago_ns is not None:  # otherwise a retry would seem to have as much more time
-                ran_ago_ns += ms_to_ns(now - suspended_at_ms)
+            executed_ago_ns = event.executed_ago_ns
+            if (
+                executed_ago_ns is not None
+            ):  # otherwise a retry window would grow by the length of the suspension
+                executed_ago_ns += ms_to_ns(now - suspended_at_ms)
             arrived = self._with_time_left(event.arrived, now)
-            return replace(event, arrived=arrived, executed_ago_ns=ran_ago_ns)
+            return replace(event, arrived=arrived, executed_ago_ns=executed_ago_ns)
         if isinstance(event, api.SlowStartRecovered):
             return replace(event, elapsed_ns=event.elapsed_ns + ms_to_ns(now - suspended_at_ms))
         return event
--- a/winchspan/delivery/final_answers.py
+++ b/winchspan/delivery/final_answers.py
@@ -1,4 +1,4 @@
-"""Settles messages that end without a delivery: completion notifications, redeliveries and dead letters."""
+"""Completes messages that were not delivered: notifications, redeliveries and dead letters."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from winchspan.delivery.messages import STATE_RETURNED, AcceptedMessage, AttemptRecord
 from winchspan.runtime.clock import ms_to_ns, ns_to_ms
 
-STILL_IN_FLIGHT = "still out"  # outcome in a stored failure history of an attempt that has not ended
+STILL_IN_FLIGHT = "still out"  # stored outcome of an attempt that has not ended
 
 
 class FinalAnswers:
-    """Gives each message that is not delivered its one final answer."""
+    """Gives each message that is not delivered exactly one final answer."""
 
     def __init__(self, context: EngineContext, table: MessageTable, events: EventQueue) -> None:
         self._context = context
@@ -27,19 +27,19 @@
         self._events = events
 
     def finish(self, message_id: str, state: str, after_ms: int, reason: str = "") -> None:
-        """End a message that is not delivered; nothing happens if it has ended already.
+        """Complete a message that is not delivered; has no effect if it is completed already.
 
         Args:
-            message_id: the message.
+            message_id: the message's identifier.
             state: its final state.
-            after_ms: when the client may submit it again; 0 if that is not known.
+            after_ms: time in ms until the client may submit it again; 0 if unknown.
             reason: an explanation for people.
         """
         message = self._table.find(message_id)
         if message is None or message.is_completed:
             return
         history = self._failure_history(message, state)
-        self._journal.record_notification_owed(message.journal_number, state, after_ms, history)
+        self._journal.record_notification_pending(message.journal_number, state, after_ms, history)
         self._table.complete(message)
         if message.redelivery_of:
             self.settle_redelivery(message, is_delivered=False, history=history)
@@ -50,11 +50,11 @@
         self.notify(message, state, after_ms, reason)
 
     def notify(self, message: AcceptedMessage, state: str, after_ms: int, reason: str = "") -> None:
-        """Notify the platform of a message's end, once the journal's record of it is replicated."""
+        """Notify the platform of a message's final state, once its journal record is replicated."""
         acknowledged = partial(self._on_acknowledged, message, state)
-        announce = self._context.notifier.announce
-        self._context.replication.secure(
-            lambda: announce(message.id, state, after_ms, acknowledged, reason), lambda: None
+        notify = self._context.notifier.notify
+        self._context.replication.when_replicated(
+            lambda: notify(message.id, state, after_ms, acknowledged, reason), lambda: None
         )
 
     def _on_acknowledged(self, message: AcceptedMessage, state: str) -> None:
@@ -70,7 +70,7 @@
     def settle_redelivery(
         self, message: AcceptedMessage, *, is_delivered: bool, history: dict[str, Any] | None
     ) -> None:
-        """Report the end of a redelivery to the dead-letter store; the platform is not notified again."""
+        """Report a redelivery's result to the dead-letter store; the platform is not notified again."""
         entry = self._journal.get(message.journal_number)
         self._events.post(api.NotificationAcknowledged(message.id))
         if entry is None:
@@ -84,12 +84,12 @@
             )
 
     def settle_redelivery_result(self, message: AcceptedMessage, *, is_delivered: bool, state: str) -> None:
-        """Settle a redelivery whose attempt has ended, with its failure history as of a final state."""
+        """Settle a redelivery whose attempt has ended, with the failure history of a final state."""
         history = self._failure_history(message, state)
         self.settle_redelivery(message, is_delivered=is_delivered, history=history)
 
     def _failure_history(self, message: AcceptedMessage, state: str) -> dict[str, Any] | None:
-        """Return why a message ends, if its dead letter is stored."""
+        """Return the failure history of a message, if its dead letter is stored."""
         entry = self._journal.get(message.journal_number)
         if entry is None or not (message.redelivery_of or self._dead_letters.should_archive(state)):
             return None
@@ -105,18 +105,18 @@
         )
 
     def _destination_state(self, destination: int) -> dict[str, Any]:
-        """Return what the scheduler knows of a destination now, under the names of the stored history."""
+        """Return the scheduler's current state of a destination, under the keys of the stored history."""
         state = self._context.scheduler.destinations.get(destination)
         if state is None:
             return {}
-        now = ms_to_ns(self._clock.now())
+        now_ns = ms_to_ns(self._clock.now())
         usable = [endpoint for endpoint in state.endpoints.values() if endpoint.is_usable]
-        wait_until = max((endpoint.limit.retry_after_ns for endpoint in usable), default=0)
+        wait_until_ns = max((endpoint.limit.retry_after_ns for endpoint in usable), default=0)
         return {
             "window": state.window,
             "calls": state.call_count,
             "queue": len(state.queue),
             "endpoints": len(usable),
             "sick": sum(endpoint.is_open for endpoint in usable),
-            "waits": ns_to_ms(max(0, wait_until - now)),
+            "waits": ns_to_ms(max(0, wait_until_ns - now_ns)),
         }
--- a/winchspan/delivery/hand_over.py
+++ b/winchspan/delivery/hand_over.py
@@ -23,14 +23,14 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineParts:
-    """The components that hold what is handed over.
+    """The components whose state is handed over.
 
     Attributes:
         table: the accepted messages.
-        events: what the scheduler has not seen yet.
+        events: the events that the scheduler has not handled yet.
         attempts: the attempts in flight.
         cycle: the dispatch cycle.
-        recovery: resumes final answers that are in the journal only.
+        recovery: resumes final answers that only the journal holds.
     """
 
     table: MessageTable
@@ -41,7 +41,7 @@
 
 
 class HandOver:
-    """Stops an engine for an upgrade, and starts one from another process's state."""
+    """Suspends an engine for an upgrade, and resumes one with another process's state."""
 
     def __init__(self, context: EngineContext, parts: EngineParts) -> None:
         self._context = context
@@ -55,7 +55,7 @@
         self._suspended_at_ms = 0.0
 
     def set_suspended(self, is_suspended: bool) -> None:
-        """Decide and start nothing, or resume; events that come meanwhile are gathered."""
+        """Suspend or resume decisions and attempts; events are queued during a suspension."""
         if is_suspended and not self._context.is_suspended:
             self._suspended_at_ms = self._clock.now()
         self._context.is_suspended = is_suspended
@@ -77,13 +77,13 @@
     def import_state(
         self,
         state: EngineState,
-        rejoin: Callable[[PendingCall, Callable[[list[AttemptResult]], None]], None],
+        resume_call: Callable[[PendingCall, Callable[[list[AttemptResult]], None]], None],
     ) -> None:
-        """Go on where another process has stopped, with its attempts in flight.
+        """Continue with another process's state and its attempts in flight.
 
         Args:
-            state: what that process has exported.
-            rejoin: puts a call on its connection here, and takes the callback for its results.
+            state: the state that the other process has exported.
+            resume_call: attaches a call to its connection in this process; gets the callback for its results.
         """
         self._journal.anchor_clock(self._clock)
         self._import_scheduler(state.scheduler)
@@ -95,18 +95,18 @@
         self._events.pending = handed_over + self._events.pending
         for attempt in self._table.attempts_in_flight().values():
             if attempt.call is not None:
-                rejoin(attempt.call, partial(self._attempts.complete, attempt))
+                resume_call(attempt.call, partial(self._attempts.complete, attempt))
         self._resume_final_answers()
         held_count = self._table.held_count
         in_flight_count = self._attempts.in_flight_count
-        logger.info("took over {} messages, {} executions out", held_count, in_flight_count)
-        settings = self._context.settings  # the other process may have had others
+        logger.info("took over {} messages, {} attempts in flight", held_count, in_flight_count)
+        settings = self._context.settings  # the other process may have had different ones
         state.scheduler.reconfigure(replace(settings, classes=self._context.classes))
-        self._events.post(api.TimerFired(0))  # for whatever timer the other process had set
+        self._events.post(api.TimerFired(0))  # replaces any timer that the other process had set
         self._cycle.run()
 
     def _import_scheduler(self, scheduler: Scheduler) -> None:
-        """Take over the scheduler, and its overload control unless this process is configured otherwise."""
+        """Import the scheduler, and its overload control unless this process is configured differently."""
         now = ms_to_ns(self._clock.now())
         self._context.scheduler = scheduler
         self._cycle.decided_at_ms = ns_to_ms(scheduler.now)
@@ -115,18 +115,18 @@
             self._context.overload_control.reconfigure(self._context.settings)
         else:
             scheduler.overload_control = self._context.overload_control
-            self._inform_overload_control(scheduler, now)
+            self._fill_overload_control(scheduler, now)
 
-    def _inform_overload_control(self, scheduler: Scheduler, now: int) -> None:
-        """Tell a new overload control what is held, and what is in flight."""
+    def _fill_overload_control(self, scheduler: Scheduler, now: int) -> None:
+        """Report held messages and calls in flight to a new overload control."""
         overload_control = self._context.overload_control
         for message in scheduler.held.values():
-            left_ns = max(0, message.deadline_ns - now)
+            remaining_ns = max(0, message.deadline_ns - now)
             arrived = api.MessageArrived(
                 message.id,
                 message.message_class.name,
                 message.destination.id,
-                left_ns,
+                remaining_ns,
                 key=message.key,
                 is_lowest_priority=message.is_lowest_priority,
             )
@@ -135,12 +135,12 @@
             overload_control.call_sent(now, call.destination.id, len(call.members), call.retry_count)
 
     def _resume_final_answers(self) -> None:
-        """Notify of the ends that the journal holds; all other entries must be in the state."""
+        """Resume the notifications pending in the journal; all other entries must be in the state."""
         open_numbers = {message.journal_number for message in self._table if not message.is_completed}
         for entry in list(self._journal.open_messages):
-            if entry.owed_notification is not None:
+            if entry.pending_notification is not None:
                 message = message_from_entry(entry, 0.0)
                 message.is_completed = True
-                self._recovery.resume_final_answer(message, entry, entry.owed_notification)
+                self._recovery.resume_final_answer(message, entry, entry.pending_notification)
             elif entry.number not in open_numbers:
                 logger.error("upgrade: message {} is in the journal only", entry.id)
--- a/winchspan/delivery/intake.py
+++ b/winchspan/delivery/intake.py
@@ -1,4 +1,4 @@
-"""Accepts messages: validation, admission control, and the record in the journal."""
+"""Acceptance of messages: validation, admission control and the journal record."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from winchspan.runtime.clock import ms_to_ns, ns_to_ms
 from winchspan.storage.errors import JournalFullError
 
-REDELIVERY_SHARE: Final = 0.5  # of the messages that may be held, from which nothing is redelivered
-MAX_DEADLINE_RATIO: Final = 2.0  # of a message's time to the deadline of its class
-DUPLICATE_HANDLE: Final = -1  # a handle that no message has
+REDELIVERY_SHARE: Final = 0.5  # share of the held-message limit from which on nothing is redelivered
+MAX_DEADLINE_RATIO: Final = 2.0  # maximum of a message's deadline over that of its class
+DUPLICATE_HANDLE: Final = -1  # matches no message
 
 
 class Intake:
-    """Decides whether messages are accepted, and hands those that are to the scheduler."""
+    """Decides whether messages are accepted, and passes accepted ones on to the scheduler."""
 
     def __init__(
         self, context: EngineContext, table: MessageTable, events: EventQueue, admission: Admission
@@ -40,12 +40,12 @@
             submitted: the message.
 
         Returns:
-            Its handle, by which the client that submitted it may withdraw it. A message that is accepted
-            already has its handle elsewhere: `DUPLICATE_HANDLE` withdraws nothing.
+            Its handle, for `withdraw`; `DUPLICATE_HANDLE`, which withdraws nothing, if the message was
+            accepted before.
 
         Raises:
-            RejectedError: there is no capacity for it now.
-            BadRequestError: it is invalid.
+            RejectedError: there is no capacity for the message now.
+            BadRequestError: the message is invalid.
         """
         try:
             message_class = self._validate(submitted)
@@ -60,24 +60,24 @@
                 self._context.metrics.count_completed("errored", submitted.class_name)
             raise
         self._table.add(message)
-        left_ns = ms_to_ns(submitted.time_left_ms - submitted.age_ms)
+        remaining_ns = ms_to_ns(submitted.time_left_ms - submitted.age_ms)
         arrived = api.MessageArrived(
             message.id,
             message.class_name,
             message.destination,
-            left_ns,
+            remaining_ns,
             key=submitted.key,
             is_repeated=submitted.is_repeated,
         )
-        self._admission.enter(message, arrived, message_class)
+        self._admission.admit(message, arrived, message_class)
         return message.handle
 
     def _is_duplicate(self, message_id: str) -> bool:
-        """Return whether a message is accepted already.
+        """Return whether a message was accepted before and is still open.
 
         Raises:
-            RejectedError: it is completed or withdrawn, but an attempt of it is still in flight. It would not
-                be delivered again, and there must not be two attempts at once.
+            RejectedError: the message is completed or withdrawn, and an attempt of it is still in flight.
+                It would not be delivered again, and two attempts must never run at once.
         """
         message = self._table.find(message_id)
         if message is None:
@@ -87,7 +87,7 @@
         return True
 
     def _validate(self, submitted: SubmittedMessage) -> api.MessageClass:
-        """Return the message's class; raises BadRequestError if the message is invalid."""
+        """Return the message's class; raise BadRequestError if the message is invalid."""
         message_class = self._context.settings.classes.get(submitted.class_name)
         if message_class is None:
             raise BadRequestError(f"unknown class {submitted.class_name!r:.60}")
@@ -102,19 +102,19 @@
         return message_class
 
     def _admit(self, submitted: SubmittedMessage, message_class: api.MessageClass) -> AcceptedMessage:
-        """Record a message in the journal; raises RejectedError if there is no capacity for it."""
-        retry_after_ms = self._context.replication.refused()
+        """Record a message in the journal; raise RejectedError if there is no capacity for it."""
+        retry_after_ms = self._context.replication.admission_delay_ms()
         if retry_after_ms > 0.0:
             raise RejectedError(retry_after_ms, "no other courier holds a copy now")
         now = self._clock.now()
-        left_ms = submitted.time_left_ms - submitted.age_ms
-        if left_ms <= 0.0:  # it has lain unread: a final answer could come too late
+        remaining_ms = submitted.time_left_ms - submitted.age_ms
+        if remaining_ms <= 0.0:  # it was read late: a final answer could miss the deadline
             raise RejectedError(0.0, "its time may be over")
         request = api.AdmissionRequest(
             submitted.id,
             message_class,
             submitted.destination,
-            ms_to_ns(left_ms),
+            ms_to_ns(remaining_ms),
             submitted.key if message_class.ordered else None,
             submitted.idempotency_key,
             submitted.is_repeated,
@@ -127,10 +127,10 @@
         rejection = self._context.overload_control.admit(ms_to_ns(now), request)
         if rejection is not None:
             raise RejectedError(ns_to_ms(rejection.retry_after_ns), rejection.reason)
-        return self._record(submitted, request, now, left_ms)
+        return self._record(submitted, request, now, remaining_ms)
 
     def _record(
-        self, submitted: SubmittedMessage, request: api.AdmissionRequest, now: float, left_ms: float
+        self, submitted: SubmittedMessage, request: api.AdmissionRequest, now: float, remaining_ms: float
     ) -> AcceptedMessage:
         try:
             journal_number = self._journal.accept(
@@ -138,7 +138,7 @@
                 submitted.class_name,
                 submitted.key,
                 submitted.destination,
-                self._clock.persistent_unix_ms() + left_ms,
+                self._clock.persistent_unix_ms() + remaining_ms,
                 submitted.idempotency_key,
                 submitted.body,
             )
@@ -148,7 +148,7 @@
             journal_number,
             submitted.id,
             submitted.destination,
-            now + left_ms,
+            now + remaining_ms,
             submitted.idempotency_key,
             submitted.body,
             submitted.class_name,
@@ -156,18 +156,18 @@
         )
 
     def _no_capacity(self, now: float, request: api.AdmissionRequest) -> RejectedError:
-        """Return the rejection of a message that this courier has no capacity for."""
+        """Return the rejection of a message for lack of capacity."""
         rejection = self._context.overload_control.reject_when_full(
             ms_to_ns(now), request, self._context.settings.max_retry_after_ns
         )
         return RejectedError(ns_to_ms(rejection.retry_after_ns), rejection.reason)
 
     def redeliver(self, redelivered: RedeliveredMessage) -> bool:
-        """Accept a dead letter as work of the lowest priority; return False if that is not possible now.
+        """Accept a dead letter with the lowest priority; return False if that is not possible now.
 
-        It takes the way of any other message: journal, scheduler, backoff, draining, per-key ordering. No
-        completion notification is owed for it. It is not accepted while an attempt of the same message is in
-        flight, however late, so that there are never two at once.
+        It is processed as any other message, with the journal, scheduler, backoff, draining and per-key
+        ordering, but causes no completion notification. It is not accepted while an attempt of the same
+        message is in flight, even past its deadline, so that two attempts never run at once.
         """
         message_class = self._context.settings.classes.get(redelivered.class_name)
         if message_class is None or not self._may_redeliver(redelivered):
@@ -202,9 +202,9 @@
         )
 
     def _record_redelivery(
-        self, redelivered: RedeliveredMessage, now: float, left_ms: float
+        self, redelivered: RedeliveredMessage, now: float, remaining_ms: float
     ) -> AcceptedMessage | None:
-        """Record a redelivery in the journal; return None if that is full."""
+        """Record a redelivery in the journal; return None if the journal is full."""
         first_run_ms = redelivered.first_run_unix_ms
         if first_run_ms is not None:
             first_run_ms -= self._clock.wall_clock_skew_ms
@@ -214,7 +214,7 @@
                 redelivered.class_name,
                 redelivered.key,
                 redelivered.destination,
-                self._clock.persistent_unix_ms() + left_ms,
+                self._clock.persistent_unix_ms() + remaining_ms,
                 redelivered.idempotency_key,
                 redelivered.body,
                 redelivered.dead_letter_number,
@@ -226,7 +226,7 @@
             journal_number,
             redelivered.id,
             redelivered.destination,
-            now + left_ms,
+            now + remaining_ms,
             redelivered.idempotency_key,
             redelivered.body,
             redelivered.class_name,
@@ -234,22 +234,22 @@
             attempt_history=[],
         )
 
-    def _redelivery_event(self, redelivered: RedeliveredMessage, left_ns: int) -> api.MessageRecovered:
-        ran_ago_ns = None
+    def _redelivery_event(self, redelivered: RedeliveredMessage, remaining_ns: int) -> api.MessageRecovered:
+        executed_ago_ns = None
         if redelivered.first_run_unix_ms is not None:
-            ran_ago_ns = ms_to_ns(max(0.0, self._clock.unix_ms() - redelivered.first_run_unix_ms))
+            executed_ago_ns = ms_to_ns(max(0.0, self._clock.unix_ms() - redelivered.first_run_unix_ms))
         arrived = api.MessageArrived(
             redelivered.id,
             redelivered.class_name,
             redelivered.destination,
-            left_ns,
+            remaining_ns,
             key=redelivered.key,
             is_lowest_priority=True,
         )
-        return api.MessageRecovered(arrived, 0, ran_ago_ns)
+        return api.MessageRecovered(arrived, 0, executed_ago_ns)
 
     def withdraw(self, handle: int) -> None:
-        """Drop a message whose client has gone without an answer: no final answer is owed for it."""
+        """Drop a message whose client has disconnected without a response: it gets no final answer."""
         message = self._table.get(handle)
         if message is None or message.is_completed:
             return
--- a/winchspan/delivery/journal_retry.py
+++ b/winchspan/delivery/journal_retry.py
@@ -1,4 +1,4 @@
-"""Writes to the journal again what it could not write at once."""
+"""Retries journal writes that failed."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 
 class JournalRetry:
-    """Retries until the journal holds all that has happened.
+    """Retries until the journal's backlog is written.
 
     Attributes:
-        is_behind: the journal lacks something.
+        has_backlog: whether the journal has records that are not written yet.
     """
 
     def __init__(self, context: EngineContext) -> None:
         self._journal = context.journal
         self._timers = context.timers
-        self.is_behind = False
-        context.journal.on_backlog = self._on_behind
+        self.has_backlog = False
+        context.journal.on_backlog = self._on_backlog
 
-    def _on_behind(self) -> None:
-        if not self.is_behind:
-            self.is_behind = True
+    def _on_backlog(self) -> None:
+        if not self.has_backlog:
+            self.has_backlog = True
             self._timers.call_later(RETRY_INTERVAL_MS, self._retry)
 
     def _retry(self) -> None:
-        self.is_behind = not self._journal.flush_backlog()
-        if self.is_behind:
+        self.has_backlog = not self._journal.flush_backlog()
+        if self.has_backlog:
             self._timers.call_later(RETRY_INTERVAL_MS, self._retry)
--- a/winchspan/delivery/message_release.py
+++ b/winchspan/delivery/message_release.py
@@ -1,4 +1,4 @@
-"""What another courier's failover means for this engine's messages: delivered elsewhere, or taken over."""
+"""Removal of messages that another courier has delivered or taken over."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class MessageRelease:
-    """Ends messages that another courier has delivered or taken over."""
+    """Completes messages that another courier has delivered or taken over."""
 
     def __init__(self, context: EngineContext, table: MessageTable, events: EventQueue) -> None:
         self._context = context
@@ -19,14 +19,14 @@
         self._events = events
 
     def complete_delivered(self, owner: str, message_ids: list[str]) -> int:
-        """End messages that the courier which accepted them has delivered after all.
+        """Complete messages that their previous owner has delivered after all.
 
         Args:
-            owner: the courier whose work was taken over.
-            message_ids: the messages that it has delivered.
+            owner: the courier from which they were taken over.
+            message_ids: identifiers of the delivered messages.
 
         Returns:
-            How many of them were still open here.
+            The number of these messages that were still open here.
         """
         completed_count = 0
         for message_id in message_ids:
@@ -41,14 +41,14 @@
         return completed_count
 
     def _is_idle_message_of(self, message: AcceptedMessage, owner: str) -> bool:
-        """Return whether an open message without an attempt in flight was taken over from a courier."""
+        """Return whether a message is open, has no attempt in flight and was taken over from a courier."""
         if message.is_completed or message.attempt is not None:
             return False
         entry = self._journal.get(message.journal_number)
         return entry is not None and entry.origin is not None and entry.origin[0] == owner
 
     def release_all(self) -> None:
-        """Drop all messages, which another courier has taken over, and start nothing more with them."""
+        """Drop all messages, because another courier has taken them over."""
         numbers = [message.journal_number for message in self._table]
         for message in self._table:
             self._events.post(api.MessageWithdrawn(message.id))
--- a/winchspan/delivery/message_table.py
+++ b/winchspan/delivery/message_table.py
@@ -1,4 +1,4 @@
-"""The table of messages that the engine has accepted and not finished."""
+"""The table of accepted messages that are open or have an attempt in flight."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
     """Accepted messages by handle and by identifier.
 
     Attributes:
-        messages: all messages that are not finished.
-        handles_by_id: their handles.
-        held_count: messages whose final answer the scheduler still owes.
+        messages: all messages that are open or have an attempt in flight.
+        handles_by_id: their handles, by identifier.
+        held_count: number of messages that are not completed.
         on_completed: called with the journal number of each message that is completed.
     """
 
@@ -34,22 +34,22 @@
         return message_id in self.handles_by_id
 
     def add(self, message: AcceptedMessage) -> None:
-        """Add a message and give it its handle."""
+        """Add a message and assign its handle."""
         message.handle = self.messages.add(message)
         self.handles_by_id[message.id] = message.handle
         self.held_count += 1
 
     def get(self, handle: int) -> AcceptedMessage | None:
-        """Return the message of a handle, unless it is finished."""
+        """Return the message of a handle, or None if it was removed."""
         return self.messages.get(handle)
 
     def find(self, message_id: str) -> AcceptedMessage | None:
-        """Return the message of an identifier, unless it is finished."""
+        """Return the message of an identifier, or None if it was removed."""
         handle = self.handles_by_id.get(message_id)
         return None if handle is None else self.messages.get(handle)
 
     def complete(self, message: AcceptedMessage) -> None:
-        """Mark that the scheduler owes a message nothing more; a second call changes nothing."""
+        """Mark a message as completed; a second call has no effect."""
         if not message.is_completed:
             message.is_completed = True
             self.held_count -= 1
@@ -62,6 +62,6 @@
             self.handles_by_id.pop(message.id, None)
 
     def attempts_in_flight(self) -> dict[int, DeliveryAttempt]:
-        """Return each attempt that some message waits for, once, by its identity and in the table's order."""
+        """Return each attempt that a message waits for, by its `id()` and in the table's order."""
         attempts = (message.attempt for message in self.messages)
         return {id(attempt): attempt for attempt in attempts if attempt is not None}
--- a/winchspan/delivery/messages.py
+++ b/winchspan/delivery/messages.py
@@ -1,4 +1,4 @@
-"""Records of accepted messages, of the attempts to deliver them, and of how attempts end."""
+"""Records of accepted messages, of attempts to deliver them, and of the attempts' results."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from winchspan import api
 
 # Final states of a message that was not delivered, as the journal and the completion notifications name them.
-STATE_RETURNED: Final = "returned"  # it certainly did not run, or may be submitted again
+STATE_RETURNED: Final = "returned"  # it has certainly not run, or may be submitted again
 STATE_FAILED: Final = "failed"  # it may have run, and must not be submitted again
 
 
@@ -16,21 +16,21 @@
     """A call that is in flight."""
 
     def cancel(self) -> None:
-        """Stop waiting for the call; its end is still reported."""
+        """Cancel the call; its end is still reported."""
 
-    def lessen(self) -> None:
-        """Leave out the messages that are no longer wanted, if the call has not been written yet."""
+    def drop_unwanted_messages(self) -> None:
+        """Remove messages that are no longer wanted, unless the call has been written."""
 
 
 class AttemptRecord(NamedTuple):
-    """One finished attempt, for the failure history of a message.
+    """One attempt in the failure history of a message.
 
     Attributes:
         endpoint: the endpoint's name.
-        started_unix_ms: when the attempt started.
-        outcome: the value of its `api.Outcome`, or that it is still in flight.
-        duration_ms: how long it took.
-        retry_after_ms: how long the endpoint asked to wait; 0 if it did not.
+        started_unix_ms: start of the attempt.
+        outcome: the value of its `api.Outcome`, or `STILL_IN_FLIGHT`.
+        duration_ms: duration of the attempt.
+        retry_after_ms: backoff that the endpoint asked for; 0 if none.
     """
 
     endpoint: str
@@ -49,12 +49,12 @@
         class_name: the message class that the client names.
         key: the ordering key, if any.
         destination: the destination's number.
-        time_left_ms: time until its deadline when the message was written.
+        time_left_ms: time until its deadline as of when the client wrote the message.
         idempotency_key: passed on to the endpoint unchanged.
         body: passed on to the endpoint unchanged.
-        is_repeated: the client marks that the message was rejected before.
-        is_resubmitted: the client marks that a courier that held the message crashed.
-        age_ms: the longest time that may have passed since the message was written.
+        is_repeated: the client states that the message was rejected before.
+        is_resubmitted: the client states that a courier crashed while it held the message.
+        age_ms: upper bound on the time since the client wrote the message.
     """
 
     id: str
@@ -81,7 +81,7 @@
         destination: the destination's number.
         idempotency_key: passed on to the endpoint unchanged.
         body: passed on to the endpoint unchanged.
-        first_run_unix_ms: when it may first have run; None if it certainly has not.
+        first_run_unix_ms: start of the first attempt that may have run; None if none has.
     """
 
     dead_letter_number: int
@@ -96,23 +96,23 @@
 
 @dataclass(slots=True)
 class AcceptedMessage:
-    """A message from its acceptance until its final answer is settled and no attempt of it is in flight.
+    """A message from its acceptance until it is completed and has no attempt in flight.
 
     Attributes:
         journal_number: its number in the journal.
         id: the message's identifier.
         destination: the destination's number.
-        deadline_ms: by when its final answer is due, on the engine's clock.
+        deadline_ms: time at which its final answer is due, on the engine's clock.
         idempotency_key: passed on to the endpoint unchanged.
         body: passed on to the endpoint unchanged.
         class_name: the message class that it was accepted under.
         handle: its handle in the message table.
-        attempt_count: attempts started so far.
+        attempt_count: number of attempts started so far.
         attempt: the attempt in flight, if any.
-        is_completed: the scheduler owes it nothing more.
-        redelivery_of: the number of the dead letter that it delivers once more; 0 for any other message.
-        attempt_history: its finished attempts; None where no history is recorded. The class's limit
-            of attempts bounds it.
+        is_completed: whether it has its final answer.
+        redelivery_of: number of the dead letter that it redelivers; 0 for any other message.
+        attempt_history: its completed attempts, bounded by the class's limit of attempts; None where no
+            history is recorded.
     """
 
     journal_number: int
@@ -137,10 +137,10 @@
     Attributes:
         endpoint: the endpoint's number.
         members: handle and attempt number of each message in the call.
-        started_ms: when the attempt was decided, on the engine's clock.
-        call: the transport's call, once it has been started.
-        is_withdrawn: the attempt was taken back before its call could start.
-        cancelled_handles: handles of the members that no longer wait for the call.
+        started_ms: time at which the attempt was decided, on the engine's clock.
+        call: the transport's call; None until it has started.
+        is_withdrawn: whether the attempt was withdrawn before its call started.
+        cancelled_handles: handles of the cancelled members.
     """
 
     endpoint: int
@@ -162,20 +162,20 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptResult:
-    """How an attempt ended for one message.
+    """Result of an attempt for one message.
 
     Attributes:
-        outcome: what happened.
-        is_final: the endpoint has settled the message: no further attempt is due.
-        retry_after_ms: how long the endpoint asked to wait.
-        no_slot: the endpoint had no slot for the call.
-        limit_left: requests that the endpoint's rate limit still allows, if it says so.
-        limit_rate: requests per second that the endpoint's rate limit allows, if it says so.
+        outcome: the outcome of the call for the message.
+        is_final: whether the endpoint has settled the message, so that no further attempt is made.
+        retry_after_ms: backoff that the endpoint asked for; 0 if none.
+        no_slot: whether the endpoint had no slot for the call.
+        limit_remaining: unused fraction of the endpoint's rate limit; None if not stated.
+        limit_rate: requests per second that the endpoint's rate limit allows; None if not stated.
     """
 
     outcome: api.Outcome
     is_final: bool = False
     retry_after_ms: float = 0.0
     no_slot: bool = False
-    limit_left: float | None = None
+    limit_remaining: float | None = None
     limit_rate: float | None = None
--- a/winchspan/delivery/ports.py
+++ b/winchspan/delivery/ports.py
@@ -1,4 +1,4 @@
-"""What the delivery engine needs from its surroundings, with inert implementations of the optional ports."""
+"""Ports of the delivery engine, with inert implementations of the optional ones."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
     def start(  # noqa: PLR0913 - implemented in `net`, which unpacks the arguments into its own call
         self,
         endpoint: int,
-        parcels: list[OutgoingMessage],
-        until: float,
-        begin_by: float | None,
-        done: Callable[[list[AttemptResult]], None],
-        wanted: Callable[[str], bool],
+        messages: list[OutgoingMessage],
+        deadline_ms: float,
+        start_by_ms: float | None,
+        on_results: Callable[[list[AttemptResult]], None],
+        is_wanted: Callable[[str], bool],
     ) -> PendingCall:
         """Start a call.
 
         Args:
             endpoint: the endpoint's number.
-            parcels: the messages to send.
-            until: when to stop waiting for the answer, in ms on the engine's clock.
-            begin_by: when the call must have been written at the latest, in ms on the engine's clock.
-            done: called later, exactly once, with one result for each message.
-            wanted: asked for each message's identifier right before the first byte is written: whether the
-                message is still to be sent.
+            messages: the messages to send.
+            deadline_ms: time at which the call times out, on the engine's clock.
+            start_by_ms: latest time to write the call, on the engine's clock; None: no limit.
+            on_results: called later, exactly once, with one result for each message.
+            is_wanted: called with each message's identifier right before the first byte is written; returns
+                whether the message is still to be sent.
         """
 
     def recall(self, endpoint: int) -> None:
@@ -46,18 +46,23 @@
     def close_idle(self, endpoint: int) -> None:
         """Close the idle connections to an endpoint."""
 
-    def serves(self, dest: int) -> bool:
+    def serves(self, destination: int) -> bool:
         """Return whether a destination is known."""
 
     def describe(self, endpoint: int) -> tuple[str, str, int]:
-        """Return an endpoint's name, its zone, and how many messages a call to it may carry."""
+        """Return an endpoint's name, its zone, and the maximum number of messages in a call to it."""
 
 
 class Notifier(Protocol):
-    """Notifies the platform of messages that were not delivered."""
+    """Notifies the platform of the final states of messages that were not delivered."""
 
-    def announce(
-        self, message: str, state: str, after_ms: int, on_acknowledged: Callable[[], None], reason: str = ""
+    def notify(
+        self,
+        message_id: str,
+        state: str,
+        retry_after_ms: int,
+        on_acknowledged: Callable[[], None],
+        reason: str = "",
     ) -> None:
         """Send a completion notification until it is acknowledged, then call `on_acknowledged`."""
 
@@ -65,50 +70,50 @@
 class ReplicationPort(Protocol):
     """Replicates the journal to other couriers, and coordinates messages with them."""
 
-    def refused(self) -> float:
-        """Return after how many ms a message may be accepted; 0 if it may be now."""
+    def admission_delay_ms(self) -> float:
+        """Return the time in ms until messages may be accepted; 0 if they may be now."""
 
-    def secure(self, then: Callable[[], None], lost: Callable[[], None]) -> None:
-        """Wait until all that the journal holds by now is replicated.
+    def when_replicated(self, on_replicated: Callable[[], None], on_taken_over: Callable[[], None]) -> None:
+        """Call back once all records written to the journal so far are replicated.
 
         Args:
-            then: called once it is, possibly at once.
-            lost: called instead if this courier's work has been taken over by then.
+            on_replicated: called once they are replicated, possibly at once.
+            on_taken_over: called instead if another courier has taken over the journal by then.
         """
 
-    def enter(  # noqa: PLR0913 - implemented in `cluster`
+    def wait_for_predecessors(  # noqa: PLR0913 - implemented in `cluster`
         self,
         number: int,
-        cls: str,
+        class_name: str,
         key: int | None,
-        token: str,
+        idempotency_key: str,
         origin: str | None,
-        free: Callable[[tuple[float, str] | None], None],
+        on_ready: Callable[[tuple[float, str] | None], None],
     ) -> None:
-        """Wait until no other courier's message with the same ordering or idempotency key goes first.
+        """Wait until no other courier's message with the same ordering or idempotency key has to go first.
 
         Args:
             number: the message's number in the journal.
-            cls: its class.
+            class_name: its class.
             key: its ordering key, if any.
-            token: its idempotency key; empty if it is idempotent without one.
-            origin: the courier that accepted it; empty: this one, in a previous incarnation; None: it is new.
-            free: called once, possibly at once, with how many ms ago a message with the same idempotency key
-                may have run and in which zone, or with None.
+            idempotency_key: its idempotency key; empty if it is idempotent without a key.
+            origin: the courier that accepted it; empty: this courier before a restart; None: it is new.
+            on_ready: called once, possibly at once, with the age in ms and the zone of an attempt that may
+                have run with the same idempotency key; with None if there is none.
         """
 
-    def forget(self, number: int) -> None:
-        """Stop waiting for a message that is completed."""
+    def cancel_wait(self, number: int) -> None:
+        """Cancel the wait of a completed message."""
 
-    def delivered(self, message: str) -> None:
-        """Note that a message that another courier has taken over was delivered by a call in flight."""
+    def report_delivered(self, message_id: str) -> None:
+        """Report that a call in flight has delivered a message that another courier has taken over."""
 
 
 class DeadLetterPort(Protocol):
     """Stores messages that were not delivered."""
 
     def should_archive(self, final_state: str) -> bool:
-        """Return whether messages that end in a state are stored."""
+        """Return whether messages with a final state are stored."""
 
     def failure_history(
         self, entry: JournalEntry, attempts: list[AttemptRecord], destination_state: dict[str, Any]
@@ -129,41 +134,41 @@
         """Record the end of a redelivery; call `on_done` once that is durable."""
 
     def reconcile(self, entries: list[JournalEntry]) -> set[int]:
-        """Return the numbers of those journal entries that are stored or settled already, after a restart."""
+        """Return the numbers of entries that are already stored or settled, after a restart."""
 
 
 class NoReplication:
-    """Replication where there is no other courier: each step goes on at once."""
+    """Replication without other couriers: calls back at once."""
 
-    def refused(self) -> float:
-        """Never hold a message back."""
+    def admission_delay_ms(self) -> float:
+        """Return 0: messages are always accepted."""
         return 0.0
 
-    def secure(self, then: Callable[[], None], lost: Callable[[], None]) -> None:
-        """Go on at once."""
-        then()
+    def when_replicated(self, on_replicated: Callable[[], None], on_taken_over: Callable[[], None]) -> None:
+        """Call back at once."""
+        on_replicated()
 
-    def enter(  # noqa: PLR0913 - the signature of `ReplicationPort.enter`
+    def wait_for_predecessors(  # noqa: PLR0913 - the signature of `ReplicationPort.wait_for_predecessors`
         self,
         number: int,
-        cls: str,
+        class_name: str,
         key: int | None,
-        token: str,
+        idempotency_key: str,
         origin: str | None,
-        free: Callable[[tuple[float, str] | None], None],
+        on_ready: Callable[[tuple[float, str] | None], None],
     ) -> None:
-        """Go on at once."""
-        free(None)
+        """Call back at once."""
+        on_ready(None)
 
-    def forget(self, number: int) -> None:
+    def cancel_wait(self, number: int) -> None:
         """Do nothing: no message waits."""
 
-    def delivered(self, message: str) -> None:
-        """Do nothing: no message is released to another courier."""
+    def report_delivered(self, message_id: str) -> None:
+        """Do nothing: no other courier takes over messages."""
 
 
 class NoDeadLetters:
-    """Dead letters where none are stored."""
+    """Dead-letter port that stores nothing."""
 
     def should_archive(self, final_state: str) -> bool:
         """Store nothing."""
@@ -176,7 +181,7 @@
         return None
 
     def archive(self, entry: JournalEntry, on_done: Callable[[], None]) -> None:
-        """Go on at once."""
+        """Call back at once."""
         on_done()
 
     def settle_redelivery(
@@ -187,7 +192,7 @@
         history: dict[str, Any] | None,
         on_done: Callable[[], None],
     ) -> None:
-        """Go on at once."""
+        """Call back at once."""
         on_done()
 
     def reconcile(self, entries: list[JournalEntry]) -> set[int]:
@@ -197,19 +202,19 @@
 
 @dataclass(slots=True)
 class EnginePorts:
-    """Everything outside the engine that it works with; None leaves an optional subsystem out.
+    """The engine's ports; None leaves out an optional subsystem.
 
     Attributes:
-        clock: reads the time.
-        timers: calls back at a time.
+        clock: the engine's clock.
+        timers: schedules callbacks.
         journal: makes messages and attempts durable.
         transport: carries attempts to endpoints.
         notifier: notifies the platform of messages that were not delivered.
         call_soon: runs a callback in the event loop's next iteration.
-        overload_control: damps retry storms.
+        overload_control: limits retry storms.
         dead_letters: stores messages that were not delivered.
         metrics: counts final answers.
-        poll_monitor: knows when the sockets were last polled.
+        poll_monitor: records when the sockets were last polled.
         replication: replicates the journal.
     """
 
--- a/winchspan/delivery/reconfiguration.py
+++ b/winchspan/delivery/reconfiguration.py
@@ -1,4 +1,4 @@
-"""Puts other settings in force, and keeps the classes that open messages were accepted under."""
+"""Applies changed settings, and keeps the classes that open messages were accepted under."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 
 class Reconfiguration:
-    """Owns the change from one settings object to the next."""
+    """Manages the transition from one settings object to the next."""
 
     def __init__(self, context: EngineContext, events: EventQueue, cycle: DispatchCycle) -> None:
         self._context = context
         self._journal = context.journal
         self._events = events
         self._cycle = cycle
-        self._switch_timer: Timer | None = None  # until clients name the new classes only
+        self._switch_timer: Timer | None = None  # until clients use the new classes only
 
     def apply(self, settings: api.Settings) -> None:
-        """Put settings in force; open messages keep the class that they were accepted under.
+        """Apply settings; open messages keep the class that they were accepted under.
 
-        Until clients go by the new settings, a class that has changed binds as the stricter of both.
+        Until clients use the new settings, the stricter version of each changed class is in force.
         """
-        self._cycle.run()  # messages accepted before are judged by the settings before
+        self._cycle.run()  # queued events are handled under the previous settings
         target = with_attempt_limits(settings)
         classes = transitional_classes(self._context.settings.classes, target.classes)
         self._put_in_force(replace(target, classes=classes))
@@ -43,7 +43,7 @@
         )
 
     def _finish_switch(self, settings: api.Settings) -> None:
-        """Let the new classes alone bind."""
+        """Put the new classes alone in force."""
         self._cycle.run()
         self._switch_timer = None
         self._put_in_force(settings)
@@ -55,7 +55,7 @@
         self._context.metrics.register_classes(settings.classes)
         self._context.scheduler.reconfigure(replace(settings, classes=self._context.classes))
         self._context.overload_control.reconfigure(settings)
-        self._events.post(api.TimerFired(0))  # there may be more slots
+        self._events.post(api.TimerFired(0))  # lets the scheduler use additional slots
 
     def record_classes(self) -> None:
         """Record the classes in force in the journal, for messages that are recovered from it."""
@@ -71,7 +71,7 @@
             try:
                 message_class = message_class_from_json(row)
             except FieldError as err:
-                logger.error("journal: table {}: {}", entry.class_table, err)
+                logger.error("journal: class table {}: {}", entry.class_table, err)
                 break
             if message_class == classes.get(entry.class_name):
                 break
--- a/winchspan/fakes/rehearsal_in_process.py
+++ b/winchspan/fakes/rehearsal_in_process.py
@@ -123,7 +123,7 @@
         if self._timers.is_alive:
             self._report([result] * len(self._messages))
 
-    def lessen(self) -> None:
+    def drop_unwanted_messages(self) -> None:
         """Leave the call as it is: all of it has been written."""
 
     def cancel(self) -> None:
@@ -175,7 +175,7 @@
         self._rehearsal = rehearsal
         self._timers = timers
 
-    def announce(
+    def notify(
         self, message: str, state: str, after_ms: int, on_acknowledged: Callable[[], None], reason: str = ""
     ) -> None:
         """Send a notification, and acknowledge it, each over the network's latency."""
@@ -262,7 +262,7 @@
         """End an incarnation without warning; its calls break, and the next one starts 600 ms later."""
         self._timers.is_alive = False
         self.engine = None
-        self._journal.abandon()
+        self._journal.close_without_flush()
         if self._archiver is not None:
             self._archiver.stop()
         self._rehearsal.timers.call_later(RESTART_DELAY_MS, self.start)
--- a/winchspan/net/__init__.py
+++ b/winchspan/net/__init__.py
@@ -1,1 +1,1 @@
-"""The sockets side: it turns what happened into events and carries out actions, and judges nothing."""
+"""Socket I/O: turns input into events and carries out actions; other packages make the decisions."""
--- a/winchspan/net/attempt_transport.py
+++ b/winchspan/net/attempt_transport.py
@@ -1,4 +1,4 @@
-"""Carries delivery attempts to endpoints as HTTP calls of one message or several, and reads the responses."""
+"""Sends delivery attempts to endpoints as HTTP calls of one or more messages, and reads the responses."""
 
 from __future__ import annotations
 
@@ -38,29 +38,37 @@
     "gone": (api.Outcome.NOT_SENT, True),
     "exhausted": (api.Outcome.NOT_SENT, False),
 }
-_NEVER_RUN_STATUSES: Final = (410, 504)
-_LONGEST_BACKOFF_MS: Final = 1e9
+_NOT_EXECUTED_STATUSES: Final = (410, 504)
+_MAX_BACKOFF_MS: Final = 1e9
 
 
 class CallContent(NamedTuple):
-    """What a call was to hold, and what of it is sent, settled right before its first byte."""
+    """The messages of a call.
+
+    Attributes:
+        messages: all messages that the call was started with.
+        sent_messages: the messages in the request, decided right before its first byte is written.
+    """
 
     messages: list[OutgoingMessage]
     sent_messages: list[OutgoingMessage]
 
     def results(self, result: HttpCallResult, *, has_load_reports: bool) -> list[AttemptResult]:
-        """Return a result for each message; what was not sent has not run."""
-        read = read_results(result, self.sent_messages, has_load_reports=has_load_reports)
-        by_id = {message.id: one for message, one in zip(self.sent_messages, read, strict=True)}
+        """Return a result for each message; a message that was not sent was not executed."""
+        sent_results = read_results(result, self.sent_messages, has_load_reports=has_load_reports)
+        by_id = {
+            message.id: attempt_result
+            for message, attempt_result in zip(self.sent_messages, sent_results, strict=True)
+        }
         return [by_id.get(message.id, AttemptResult(api.Outcome.NOT_SENT)) for message in self.messages]
 
 
 @dataclass(slots=True)
 class TransportSettings:
-    """What the platform's settings say of calls.
+    """The platform's settings for calls.
 
     Attributes:
-        messages_per_call: that a call may hold, by kind of destination.
+        messages_per_call: the most messages that a call may hold, by kind of destination.
         has_load_reports: whether responses hold load reports.
     """
 
@@ -69,13 +77,13 @@
 
 
 class HttpAttemptTransport:
-    """The transport of attempts on this platform.
+    """Sends delivery attempts to endpoints over HTTP.
 
     Attributes:
-        shared_backoff_ms: for how many ms a destination wants nothing, as other couriers have heard it say;
-            None: nobody else is asked.
-        on_backoff: gets each destination that has asked to back off, and for how many ms.
-        may_send: asked right before a call's first byte; None: always.
+        shared_backoff_ms: returns the ms that a destination must not be called, as it asked other couriers;
+            None: backoffs are not shared.
+        on_backoff: called with each destination that asks to back off, and the ms.
+        may_send: returns whether a call may be sent, right before its first byte; None: always.
     """
 
     def __init__(
@@ -96,7 +104,7 @@
         self.may_send: Callable[[], bool] | None = None
 
     def set_settings(self, settings: TransportSettings) -> None:
-        """Use other settings from now on."""
+        """Use other settings for later calls and responses."""
         self._settings = settings
 
     def start(
@@ -111,12 +119,12 @@
         """Start a call.
 
         Args:
-            endpoint: its number.
-            messages: to be sent in one call.
-            deadline_ms: clock reading at which it is given up.
-            start_by_ms: clock reading by which it must be written; None: no limit.
-            on_results: gets a result for each message, once.
-            is_wanted: whether a message is still to be sent.
+            endpoint: the number of the endpoint.
+            messages: the messages to send in one call.
+            deadline_ms: clock reading at which the call times out.
+            start_by_ms: clock reading by which the call must be written; None: no limit.
+            on_results: called once, with a result for each message.
+            is_wanted: returns whether the message of an id is still to be sent.
         """
         record = self._directory.endpoints[endpoint]
         if self.shared_backoff_ms is not None:
@@ -141,26 +149,26 @@
     def _make_request(
         self, content: CallContent, address: Address, deadline_ms: float, is_wanted: Callable[[str], bool]
     ) -> list[bytes]:
-        """Return a call's bytes, right before the first of them; nothing if it is not to be made.
+        """Return the request, right before its first byte is written; empty if no message is to be sent.
 
-        Guards against messages that end while their connection comes up: they would be sent on after their
-        final answer, with the others of the call.
+        Guards against messages that complete while the connection is being established: they would be sent
+        after their final result, together with the other messages of the call.
         """
         wanted = [message for message in content.messages if is_wanted(message.id)]
         content.sent_messages[:] = wanted
         if not wanted or (self.may_send is not None and not self.may_send()):
             return []
-        patience_seconds = max(0.0, deadline_ms - self._clock.now()) / 1_000.0
+        remaining_seconds = max(0.0, deadline_ms - self._clock.now()) / 1_000.0
         encode = _encode_batch if len(wanted) > 1 else _encode_single
-        return encode(wanted, str(address), patience_seconds)
+        return encode(wanted, str(address), remaining_seconds)
 
-    def _read(self, result: HttpCallResult, content: CallContent, dest: int) -> list[AttemptResult]:
-        """Return the results, and pass on how long the destination asks to back off."""
+    def _read(self, result: HttpCallResult, content: CallContent, destination: int) -> list[AttemptResult]:
+        """Return the results, and report the backoff that the destination asks for."""
         results = content.results(result, has_load_reports=self._settings.has_load_reports)
         if self.on_backoff is not None:
-            backoff_ms = max(one.retry_after_ms for one in results)
+            backoff_ms = max(attempt_result.retry_after_ms for attempt_result in results)
             if backoff_ms > 0.0:
-                self.on_backoff(dest, backoff_ms)
+                self.on_backoff(destination, backoff_ms)
         return results
 
     def adopt(
@@ -170,7 +178,14 @@
         state: HttpCallState,
         on_results: Callable[[list[AttemptResult]], None],
     ) -> None:
-        """Go on with a call that another process has written; `on_results` gets a result for each message."""
+        """Take over a call that another process has written.
+
+        Args:
+            sock: the connection of the call.
+            call: the call, without a connection yet.
+            state: the call's state in the other process.
+            on_results: called once, with a result for each message.
+        """
         content: CallContent = state.context
         call.context = content
         has_load_reports = self._settings.has_load_reports
@@ -181,9 +196,9 @@
             lambda result: on_results(content.results(result, has_load_reports=has_load_reports)),
         )
 
-    def serves(self, dest: int) -> bool:
-        """Return whether the list has named an endpoint of a destination; before any list, nobody knows."""
-        return dest in self._directory.endpoint_counts or not self._directory.endpoint_counts
+    def serves(self, destination: int) -> bool:
+        """Return whether an endpoint of the destination is listed; True before the first endpoint list."""
+        return destination in self._directory.endpoint_counts or not self._directory.endpoint_counts
 
     def recall(self, endpoint: int) -> None:
         """Recall the calls to an endpoint that are not completely written."""
@@ -191,75 +206,75 @@
             self._pool.recall(record.peer)
 
     def close_idle(self, endpoint: int) -> None:
-        """Close the idle connections to an endpoint, unless it has long been off the list."""
+        """Close the idle connections to an endpoint, if the directory still holds it."""
         if record := self._directory.endpoints.get(endpoint):
             self._pool.close_idle(record.peer)
 
     def describe(self, endpoint: int) -> tuple[str, str, int]:
-        """Return name and zone of an endpoint, and how many messages a call to it may hold."""
+        """Return name and zone of an endpoint, and the most messages that a call to it may hold."""
         record = self._directory.endpoints.get(endpoint)
         if record is None:
             return "?", "", 1
         return record.name, record.zone, self._settings.messages_per_call.get(record.kind, 1)
 
 
-def _encode_single(messages: list[OutgoingMessage], host: str, patience_s: float) -> list[bytes]:
+def _encode_single(messages: list[OutgoingMessage], host: str, remaining_s: float) -> list[bytes]:
     (message,) = messages
-    headers = [("X-Request-Id", message.id), ("X-Deadline", f"{patience_s:.3f}")]
+    headers = [("X-Request-Id", message.id), ("X-Deadline", f"{remaining_s:.3f}")]
     if message.idempotency_key:
         headers.append(("Idempotency-Key", message.idempotency_key))
     return http.encode_request("POST", "/hook", host, headers, message.body)
 
 
-def _encode_batch(messages: list[OutgoingMessage], host: str, patience_s: float) -> list[bytes]:
+def _encode_batch(messages: list[OutgoingMessage], host: str, remaining_s: float) -> list[bytes]:
     items = []
     for message in messages:
         item = {"id": message.id}
         if message.idempotency_key:
             item["key"] = message.idempotency_key
         items.append(item | {"body": b64encode(message.body).decode()})
-    headers = [("X-Deadline", f"{patience_s:.3f}"), ("Content-Type", "application/json")]
+    headers = [("X-Deadline", f"{remaining_s:.3f}"), ("Content-Type", "application/json")]
     body = json.dumps(items, separators=(",", ":")).encode()
     return http.encode_request("POST", "/hook/batch", host, headers, body)
 
 
 class ResponseSignals(NamedTuple):
-    """What any response may tell beside its status.
+    """The flow-control headers of a response.
 
     Attributes:
-        backoff_ms: for how long nothing more is wanted; 0: not stated.
-        limit_left: the share of the allowance that is left, if reported.
+        backoff_ms: ms during which the destination asks for no further call; 0: not stated.
+        limit_remaining: the remaining share of the allowance, if reported.
         limit_rate: the limit in calls a second, if reported.
     """
 
     backoff_ms: float
-    limit_left: float | None
+    limit_remaining: float | None
     limit_rate: float | None
 
     def result(self, outcome: api.Outcome, *, is_final: bool = False) -> AttemptResult:
         """Return the result of an attempt with these signals."""
-        return AttemptResult(outcome, is_final, self.backoff_ms, False, self.limit_left, self.limit_rate)
+        return AttemptResult(outcome, is_final, self.backoff_ms, False, self.limit_remaining, self.limit_rate)
 
 
 def read_results(
     result: HttpCallResult, messages: list[OutgoingMessage], *, has_load_reports: bool = False
 ) -> list[AttemptResult]:
-    """Return what the end of a call means for each message in it."""
+    """Return the result of the attempt for each message in a completed call."""
     response = result.response
     if response is None:
         if result.first_line_status == 200 and len(messages) == 1:
-            # Delivered by the protocol, whatever became of the rest of the response.
+            # By the protocol, a status line with 200 is a delivery, even if the rest of the response is lost.
             return [AttemptResult(api.Outcome.DELIVERED, True)]
         return [AttemptResult(_OUTCOMES[result.outcome])] * len(messages)
-    limit_left, limit_rate = _load_report(response.headers.get("x-load", "") if has_load_reports else "")
-    signals = ResponseSignals(_backoff_ms(response.headers), limit_left, limit_rate)
+    limit_remaining, limit_rate = _load_report(response.headers.get("x-load", "") if has_load_reports else "")
+    signals = ResponseSignals(_backoff_ms(response.headers), limit_remaining, limit_rate)
     if response.status == 200 and len(messages) > 1:
         return _read_batch(bytes(response.body), messages, signals)
     return [_read_single(response, signals)] * len(messages)
 
 
 def _read_single(response: http.ResponseParser, signals: ResponseSignals) -> AttemptResult:
-    """Return what a status means for every message of its call."""
+    """Return the result that the status gives for every message of the call."""
     status = response.status
     if status == 200:
         return signals.result(api.Outcome.DELIVERED, is_final=True)
@@ -267,22 +282,22 @@
         return AttemptResult(api.Outcome.NOT_SENT, no_slot=True)
     if status in http.REJECTING_STATUSES:
         return signals.result(api.Outcome.FULL)
-    if status in _NEVER_RUN_STATUSES:
+    if status in _NOT_EXECUTED_STATUSES:
         return AttemptResult(api.Outcome.NOT_SENT, status == 410)
     if status != 500:
-        logger.warning("an endpoint answered {}", status)
+        logger.warning("an endpoint responded with the unexpected status {}", status)
     return signals.result(api.Outcome.ERROR)
 
 
 def _read_batch(
     body: bytes, messages: list[OutgoingMessage], signals: ResponseSignals
 ) -> list[AttemptResult]:
-    """Return the ends of several messages; one that is not named may have run."""
+    """Return the results of a batch; a message without a state in the response may have been executed."""
     states: dict[object, object] = {}
     try:
         states = {row["id"]: row["state"] for row in parse_json(body)}
-    except (FieldError, TypeError, KeyError) as err:  # nothing in it is believed then
-        logger.warning("the answer to several messages cannot be read: {!r:.100}", err)
+    except (FieldError, TypeError, KeyError) as err:  # a partly unreadable body gives no result at all
+        logger.warning("unreadable response to a batch call: {!r:.100}", err)
     results = []
     for message in messages:
         outcome, is_final = _BATCH_STATES.get(str(states.get(message.id)), (api.Outcome.ERROR, False))
@@ -291,22 +306,22 @@
 
 
 def retry_after_ms(result: HttpCallResult) -> float:
-    """Return the ms that a response asks to back off, whatever the call was; 0 for none."""
+    """Return the ms that the response asks to back off; 0 without a response or a valid header."""
     return _backoff_ms(result.response.headers) if result.response is not None else 0.0
 
 
 def _backoff_ms(headers: dict[str, str]) -> float:
-    """Return the ms to back off; 0 if none are stated or they cannot be read."""
+    """Return the ms to back off; 0 if the header is missing or invalid."""
     text = headers.get("x-ratelimit-wait-ms", "")
     try:
         backoff_ms = float(text) if text else 0.0
     except ValueError:
         return 0.0
-    return backoff_ms if 0.0 < backoff_ms < _LONGEST_BACKOFF_MS else 0.0
+    return backoff_ms if 0.0 < backoff_ms < _MAX_BACKOFF_MS else 0.0
 
 
 def _load_report(text: str) -> tuple[float | None, float | None]:
-    """Return the share of the allowance left and the limit, from `x0=0.4,x1=25`, or neither."""
+    """Return the remaining share and the limit from `x0=0.4,x1=25`; both None if invalid."""
     values: dict[str, float] = {}
     for item in text.split(",") if text else ():
         name, _, value = item.partition("=")
@@ -314,7 +329,7 @@
             parsed = float(value)
         except ValueError:
             return None, None
-        if not 0.0 <= parsed < 1e9:  # NaN either
+        if not 0.0 <= parsed < 1e9:  # rejects NaN too
             return None, None
         values[name.strip()] = parsed
     return values.get("x0"), values.get("x1")
--- a/winchspan/net/backlog_age.py
+++ b/winchspan/net/backlog_age.py
@@ -1,4 +1,4 @@
-"""How long clients that are accepted may have waited at the listening socket."""
+"""Upper bound on how long accepted clients have waited in the backlog of the listening socket."""
 
 from __future__ import annotations
 
@@ -6,32 +6,35 @@
 
 
 class BacklogAge:
-    """Bounds when the clients that are accepted now have come, over times in which nobody accepted."""
+    """Tracks the earliest time at which the clients now in the backlog can have connected.
+
+    The bound also holds across times in which the courier accepted no clients.
+    """
 
     __slots__ = ("_checked_at_poll", "_poll_monitor", "_waiting_since_ms")
 
     def __init__(self, poll_monitor: PollMonitor) -> None:
         self._poll_monitor = poll_monitor
-        self._waiting_since_ms: float | None = poll_monitor.received_after_ms  # None: nobody waits
+        self._waiting_since_ms: float | None = poll_monitor.received_after_ms  # None: the backlog is empty
         self._checked_at_poll = 0
 
     def resume(self) -> None:
-        """Note that clients are accepted from now on."""
+        """Record that accepting starts."""
         self._checked_at_poll = self._poll_monitor.poll_count
 
     def pause(self) -> None:
-        """Note that nobody is accepted from now on."""
+        """Record that accepting stops."""
         self._waiting_since_ms = self._received_after()
 
     def begin_accepting(self) -> float:
-        """Return the clock reading after which those that wait have come, of whom some are accepted now."""
+        """Return a clock reading after which every client in the backlog has connected."""
         received_after_ms = self._received_after()
         self._waiting_since_ms = received_after_ms
         self._checked_at_poll = self._poll_monitor.poll_count
         return received_after_ms
 
     def record_empty(self) -> None:
-        """Note that nobody waits any more."""
+        """Record that the backlog is empty."""
         self._waiting_since_ms = None
 
     def _received_after(self) -> float:
--- a/winchspan/net/buffered_connection.py
+++ b/winchspan/net/buffered_connection.py
@@ -1,4 +1,4 @@
-"""The bytes of one connection: received in place, paused while something waits, and closed in order."""
+"""A buffered connection: receives in place, pauses reading, and shuts down gracefully."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ConnectionContext(Protocol):
-    """What every connection needs of the rest of the courier."""
+    """The parts of the courier that every connection uses."""
 
     poll_monitor: PollMonitor
 
@@ -22,9 +22,9 @@
 
 
 class BufferedConnection(asyncio.BufferedProtocol):
-    """A connection that reads into a buffer of its own, and closes its sending side first.
+    """A connection that reads into its own buffer, and closes its sending side first.
 
-    It is a base class, so that a protocol on top of it costs no further call for what it receives.
+    It is a base class rather than a wrapper, to save a function call for each read.
     """
 
     def __init__(self, context: ConnectionContext) -> None:
@@ -32,33 +32,33 @@
         self._receive_buffer = ReceiveBuffer()
         self._receive_age = ReceiveAge(context.poll_monitor)
         self._transport: asyncio.Transport | None = None
-        self._is_write_blocked = False  # what was written waits for the peer to read it
-        self._is_resume_due = False  # what was received waits for the next cycle, or for a delay to end
-        self._shut_down_at_ms: float | None = None  # since then everything received is thrown away
+        self._is_write_blocked = False  # written bytes wait for the peer to read them
+        self._is_resume_due = False  # received bytes wait for the next cycle or a delay
+        self._shut_down_at_ms: float | None = None  # received bytes are discarded since then
 
     # ---- receiving ---------------------------------------------------------------------------------------
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return where the loop may put the next bytes."""
+        """Return the free part of the receive buffer."""
         return self._receive_buffer.writable()
 
     def mark_unread_since(self, at_ms: float) -> None:
-        """Note since when nobody has read what comes on it."""
+        """Record the clock reading since which the connection has not been read."""
         self._receive_age.mark_unread_since(at_ms)
 
     @property
     def has_unread_bytes(self) -> bool:
-        """Whether bytes have come that the loop has not read yet."""
+        """Whether the socket holds bytes that the loop has not read yet."""
         return self._is_socket_ready(select.POLLIN)
 
     def pause_for_hand_over(self, paused: bool) -> None:
-        """Read nothing, or read on."""
+        """Pause reading during an upgrade, or resume it."""
         if not paused:
             self._update_reading()
         elif self._transport is not None and not self._transport.is_closing():
             self._transport.pause_reading()
 
     def _update_reading(self) -> None:
-        """Read from the peer unless something waits."""
+        """Pause reading while replies or requests are pending; resume it otherwise."""
         transport = self._transport
         if transport is None or transport.is_closing() or self._shut_down_at_ms is not None:
             return
@@ -72,23 +72,23 @@
             transport.resume_reading()
 
     def _is_socket_ready(self, event: int) -> bool:
-        """Whether the system reports an event for the socket; an emulated connection has none."""
+        """Whether the system reports an event for the socket; False for an emulated connection."""
         sock = self._transport.get_extra_info("socket") if self._transport is not None else None
         return sock is not None and _poll_socket(sock, event)
 
     # ---- closing -----------------------------------------------------------------------------------------
     @property
     def is_shut_down(self) -> bool:
-        """Whether it answers nothing any more."""
+        """Whether the sending side has been shut down."""
         return self._shut_down_at_ms is not None
 
     def close(self, last_reply: bytes = b"") -> None:
-        """End it once all replies have left, a last one among them.
+        """Close the connection once all replies, including `last_reply`, have been sent.
 
-        Only the sending side is shut down at first, and what still comes is read and thrown away, until the
-        peer closes it or it has lingered for long enough. Guards against a request that crosses with the end:
-        a close over unread bytes resets the connection, and the reset may overtake replies that the peer has
-        not read. None of it may be taken on: nobody would hear.
+        Shuts down only the sending side at first. Further input is read and discarded until the peer closes
+        the connection or the linger time ends. Guards against a request that arrives during the close:
+        closing a socket with unread bytes resets the connection, and the reset may overtake replies that
+        the peer has not read. Discarded requests are not accepted, since no reply could be sent.
         """
         transport = self._transport
         if transport is None or transport.is_closing() or self._shut_down_at_ms is not None:
@@ -102,19 +102,19 @@
         self._receive_buffer.start = self._receive_buffer.end
         try:
             transport.write_eof()
-        except OSError:  # it has been reset, and the loop has not seen that yet
+        except OSError:  # the peer has reset it, and the loop has not noticed yet
             transport.abort()
         else:
             transport.resume_reading()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection immediately."""
         if self._transport is not None:
             self._transport.abort()
 
 
 def _poll_socket(sock: socket.socket, event: int) -> bool:
-    """Return whether the system reports an event for a socket at this moment."""
+    """Return whether the system reports an event for a socket now."""
     poll = select.poll()
     poll.register(sock.fileno(), event)
     return bool(poll.poll(0))
--- a/winchspan/net/client_connection.py
+++ b/winchspan/net/client_connection.py
@@ -18,41 +18,42 @@
 from winchspan.runtime.system import file_descriptor
 
 REPLICATION_LIMIT_MS: Final = 350.0
-"""For a replica of what was taken on: clients wait 400 ms for their reply."""
+"""Time to replicate an accepted message, below the 400 ms that a client waits for its reply."""
 
 MAX_BAD_REQUESTS: Final = 16
-"""Bad requests that close a connection."""
+"""Number of bad requests after which a connection is closed."""
 
 BAD_REQUEST_DELAY_MS: Final = 100.0
-"""A connection is not read for so long after a bad request."""
+"""Time for which a connection is not read after a bad request."""
 
 IDLE_LIMIT_MS: Final = 2_100.0
-"""Longer than a connection without an open request must be kept."""
+"""Idle time after which a connection is closed, a little above the time that it must stay open."""
 
 REQUEST_LIMIT_MS: Final = 1_000.0
-"""From a request's first byte to its last; its client waits 400 ms for the reply."""
+"""Time from the first byte of a request to its last; the client waits 400 ms for the reply."""
 
 READ_LIMIT_MS: Final = 3_000.0
-"""For a client to read its replies."""
+"""Time for a client to read its replies."""
 
 CLIENT_REPLY_TIMEOUT_MS: Final = 400.0
-"""A client waits so long for a reply, and then closes its connection."""
+"""Time that a client waits for a reply before it closes its connection."""
 
 SILENT_AFTER_MS: Final = 300.0
-"""A client that has sent no complete request for so long may be evicted."""
+"""Time without a complete request after which a connection may be evicted."""
 
 LINGER_MS: Final = 300.0
-"""After the sending side is shut down, for what is still on its way from the client."""
+"""Time after the sending side is shut down, in which bytes in flight from the client are discarded."""
 
 
 class ClientConnectionState(NamedTuple):
-    """What one process hands to the next of a client's connection, beside its descriptor.
+    """The state of a client connection that an upgrade transfers together with the descriptor.
 
     Attributes:
-        unread: bytes from the first byte of the first request that is not answered.
+        unread: received bytes, beginning with the first request without a reply.
         has_answered: whether any request has been answered.
-        bad_request_count: bad requests so far.
-        active_since_ms: when it was accepted or last answered, or its open request began.
+        bad_request_count: number of bad requests.
+        active_since_ms: clock reading of the accept, the last reply, or the begin of the incomplete request,
+            whichever is the latest.
     """
 
     unread: bytes
@@ -62,35 +63,35 @@
 
 
 class ConnectionRegistry(RequestContext, ConnectionContext, Protocol):
-    """All client connections, as one of them sees the rest of the courier."""
+    """The parts of the courier that a client connection uses."""
 
     is_closing_idle: bool
 
     def next_use(self) -> int:
-        """Return a number that grows with each use of any connection."""
+        """Return the next number of a sequence that counts uses of all connections."""
 
     def call_later(self, delay: float, action: Callable[[], None]) -> None:
-        """Call after some ms, and after what the loop has at hand."""
+        """Call `action` after `delay` ms, and after the loop has processed its pending events."""
 
     def remove(self, connection: ClientConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a closed connection."""
 
 
 class ClientConnection(BufferedConnection):
-    """One client's connection. Every request is answered at once, in the order of reading.
+    """One client's connection. Requests are answered immediately, in the order of arrival.
 
     Attributes:
-        handle: its number in the registry.
-        last_use: when it was last used, in uses of all connections.
+        handle: the connection's number in the registry.
+        last_use: sequence number of the last use, counted over all connections.
     """
 
     def __init__(self, registry: ConnectionRegistry) -> None:
         super().__init__(registry)
         self._registry = registry
         self._requests = RequestExecutor(registry)
-        self._unsent_handles: list[int] = []  # messages whose reply has not completely reached the system
-        self._has_answered = False  # what crosses with a close is sent again only between requests
-        self._is_replicating = False  # what was taken on is to be replicated before its reply is sent
+        self._unsent_handles: list[int] = []  # messages whose reply the kernel has not fully taken
+        self._has_answered = False  # clients resend a request lost in a close only then
+        self._is_replicating = False  # the reply waits for the replication of its message
         self._replicating_handle = -1
         self._active_since_ms = registry.now()
         self.handle = 0
@@ -98,39 +99,39 @@
 
     # ---- callbacks of the loop ---------------------------------------------------------------------------
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to read."""
+        """Start to read."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._receive_age.resume()
         transport.set_write_buffer_limits(high=0)
-        if len(self._receive_buffer):  # what another process has read of it
+        if len(self._receive_buffer):  # bytes that another process has read
             self._is_resume_due = True
             self._registry.call_later(0.0, self._resume)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Withdraw the messages whose reply the client has not got."""
+        """Withdraw the messages whose reply has not been fully sent."""
         self._registry.remove(self)
         for handle in self._unsent_handles:
             self._registry.intake.withdraw(handle)
         self._unsent_handles.clear()
 
     def pause_writing(self) -> None:
-        """Stop reading. Guards against a client that sends and never reads."""
+        """Stop reading: guards against a client that sends requests and never reads replies."""
         self._is_write_blocked = True
         self._active_since_ms = self._registry.now()
         self._update_reading()
 
     def resume_writing(self) -> None:
-        """Read on: all replies have reached the system."""
+        """Resume reading: the kernel has taken all replies."""
         self._unsent_handles.clear()
         self._is_write_blocked = False
         self._active_since_ms = self._registry.now()
         self._update_reading()
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Answer the requests that are complete."""
+        """Process the complete requests."""
         buffer = self._receive_buffer
-        if self._shut_down_at_ms is not None:  # its client sends it once more, on a new connection
+        if self._shut_down_at_ms is not None:  # the client resends them on a new connection
             buffer.start = buffer.end
             return
         if not len(buffer):
@@ -141,7 +142,7 @@
             self._process_requests()
 
     def _resume(self) -> None:
-        """Go on with requests that have waited."""
+        """Process the requests that have waited, and resume reading."""
         self._is_resume_due = False
         if not self._is_write_blocked:
             self._process_requests()
@@ -149,7 +150,7 @@
 
     # ---- requests ----------------------------------------------------------------------------------------
     def _process_requests(self) -> None:
-        """Answer some requests; the rest of a flood waits until other connections have been served."""
+        """Process a batch of requests; later ones wait until other connections have been served."""
         transport = self._transport
         if transport is None or transport.is_closing() or self._shut_down_at_ms is not None:
             return
@@ -166,8 +167,8 @@
         if batch.replies:
             self._write_replies(transport, batch)
         has_bad_request = self.bad_request_count > bad_request_count
-        is_over = self._registry.is_closing_idle and not len(self._receive_buffer)
-        if batch.is_protocol_broken or self.bad_request_count >= MAX_BAD_REQUESTS or is_over:
+        is_drained = self._registry.is_closing_idle and not len(self._receive_buffer)
+        if batch.is_protocol_broken or self.bad_request_count >= MAX_BAD_REQUESTS or is_drained:
             self.close()
         elif has_bad_request or batch.request_count == MAX_REQUESTS_PER_CYCLE:
             self._is_resume_due = True
@@ -175,41 +176,41 @@
             self._registry.call_later(BAD_REQUEST_DELAY_MS if has_bad_request else 0.0, self._resume)
 
     def _write_replies(self, transport: asyncio.Transport, batch: RequestBatch) -> None:
-        """Write the replies, and remember the messages whose reply the system has not completely taken."""
-        self._note_use()
+        """Write the replies, and record the messages whose reply the kernel has not fully taken."""
+        self._record_use()
         transport.writelines(batch.replies)
-        # If the connection was lost in the write, nobody has heard any of it.
+        # If the connection was lost during the write, no reply has been sent.
         written = 0 if transport.is_closing() else batch.size - transport.get_write_buffer_size()
         for handle, end in zip(batch.handles, batch.reply_ends, strict=True):
             if end > written:
                 self._unsent_handles.append(handle)
 
-    def _note_use(self) -> None:
+    def _record_use(self) -> None:
         self._has_answered = True
         self._active_since_ms = self._registry.now()
         self.last_use = self._registry.next_use()
 
     def _has_client_closed(self) -> bool:
-        """Whether its client has closed the connection.
+        """Return whether the client has closed the connection.
 
-        Guards against requests that were read late, of clients that have waited in vain: they are handed in
-        elsewhere by now, and what would be delivered here counts for nothing.
+        Guards against requests that are read late, after their client has timed out and submitted them
+        elsewhere: their delivery here would be of no use.
         """
         return self._is_socket_ready(select.POLLRDHUP)
 
     # ---- replication -------------------------------------------------------------------------------------
     def _begin_replication(self, replies: list[bytes], handles: list[int]) -> None:
-        """Have what was taken on last replicated before its client hears of it."""
+        """Replicate the message that was accepted last before its reply is sent."""
         assert self._transport is not None and self._registry.replication is not None
-        self._note_use()
+        self._record_use()
         if replies:
             self._transport.writelines(replies)
-        self._unsent_handles.extend(handles)  # if the client leaves before, nothing is owed
+        self._unsent_handles.extend(handles)  # withdrawn if the client disconnects before its reply
         self._is_resume_due = True
         self._update_reading()
         handle = handles[-1]
         self._replicating_handle = handle
-        self._registry.replication.secure(
+        self._registry.replication.when_replicated(
             lambda: self._finish_replication(handle, resp.simple_string("OK")),
             lambda: self._finish_replication(handle, resp.error_reply("BUSY")),
         )
@@ -217,18 +218,19 @@
             self._registry.call_later(REPLICATION_LIMIT_MS, lambda: self._replication_timed_out(handle))
 
     def _replication_timed_out(self, handle: int) -> None:
-        """Reject what no replica is known of: its client is not left to wait in vain.
+        """Reject the message, since no replica has confirmed it in time.
 
-        But for a message that may run once only: a replica node may have it and go on with it, so that
-        handing it in again would not be harmless. Its client hears nothing, and knows what that means.
+        A message that may run only once gets no reply instead: a replica node may hold it and deliver it, so
+        that submitting it again could execute it twice. A missing reply tells the client that the outcome is
+        unknown.
         """
         is_current = self._is_replicating and handle == self._replicating_handle
-        if is_current and not self._registry.intake.runs_once(handle):
+        if is_current and not self._registry.intake.is_at_most_once(handle):
             self._registry.intake.withdraw(handle)
             self._finish_replication(handle, resp.error_reply("BUSY"))
 
     def _finish_replication(self, handle: int, reply: bytes) -> None:
-        """Reply: what was taken on is replicated, or is not to be waited for any more."""
+        """Send the pending reply, once the message is replicated or the time for it is over."""
         if not self._is_replicating or handle != self._replicating_handle:
             return
         self._is_replicating = False
@@ -241,45 +243,46 @@
             self._unsent_handles.clear()
         self._registry.call_later(0.0, self._resume)
 
-    # ---- its state, as the listener sees it --------------------------------------------------------------
+    # ---- state for the listener --------------------------------------------------------------------------
     @property
     def bad_request_count(self) -> int:
-        """Bad requests so far."""
+        """Number of bad requests on this connection."""
         return self._requests.bad_request_count
 
     @property
     def has_partial_request(self) -> bool:
-        """Whether part of a request has come."""
+        """Whether an incomplete request has been received."""
         return len(self._receive_buffer) > 0 or self._requests.has_partial_request
 
     @property
     def active_since_ms(self) -> float:
-        """When it was accepted or last answered, or its open request began."""
+        """Clock reading of the accept, the last reply, or the begin of the incomplete request."""
         return self._active_since_ms
 
     def is_closable(self) -> bool:
-        """Return whether it is between two requests; before the first one its client would not ask again."""
+        """Return whether it is between two requests; a client does not resend its first request."""
         if self._transport is None or self.has_partial_request or self._is_resume_due:
             return False
         return self._shut_down_at_ms is None and self._has_answered
 
     def is_awaiting_first_request(self, now_ms: float) -> bool:
-        """Return whether it has asked for nothing yet, and its client may still be about to."""
+        """Return whether the client has sent no request yet, and is still within its reply timeout."""
         if self._has_answered or self._shut_down_at_ms is not None:
             return False
         return now_ms - self._active_since_ms < CLIENT_REPLY_TIMEOUT_MS
 
     def is_silent(self, now_ms: float) -> bool:
-        """Return whether its client has sent no complete request for longer than one takes."""
+        """Return whether the client has sent no complete request for longer than a request takes."""
         if now_ms - self._active_since_ms <= SILENT_AFTER_MS or self._shut_down_at_ms is not None:
             return False
         return self.has_partial_request or not self._has_answered
 
-    # ---- its end -----------------------------------------------------------------------------------------
+    # ---- closing -----------------------------------------------------------------------------------------
     def close_if_expired(self, now_ms: float) -> None:
-        """Close it once its client has had its time.
+        """Close the connection if it has exceeded a time limit.
 
-        Guards against clients that hold a descriptor and ask for nothing, send half a request, or never read.
+        Guards against clients that occupy a descriptor without sending a request, send only part of one, or
+        never read their replies.
         """
         transport = self._transport
         if transport is None:
@@ -303,7 +306,7 @@
         return SILENT_AFTER_MS if self._registry.is_out_of_service else IDLE_LIMIT_MS
 
     def evict(self) -> None:
-        """End it for others that wait: at once if nothing of a request has come, since it is idle then."""
+        """Close it to make room for waiting clients; an incomplete request gets a `BUSY` reply."""
         if self.has_partial_request:
             self.close(resp.error_reply("BUSY"))
         elif self._transport is not None and not self.has_unread_bytes:
@@ -312,14 +315,14 @@
     # ---- upgrade -----------------------------------------------------------------------------------------
     @property
     def is_transferable(self) -> bool:
-        """Whether it can be handed over: all its replies have reached the system."""
+        """Whether it can be transferred: the kernel has taken all its replies."""
         transport = self._transport
         if transport is None or transport.is_closing() or self._shut_down_at_ms is not None:
             return False
         return not self._unsent_handles and not transport.get_write_buffer_size()
 
     def export_state(self) -> tuple[int, ClientConnectionState]:
-        """Return its descriptor, and what the process that takes it over must know."""
+        """Return the descriptor and the state for the next process."""
         assert self._transport is not None
         buffer = self._receive_buffer
         state = ClientConnectionState(
@@ -331,7 +334,7 @@
         return file_descriptor(self._transport), state
 
     def import_state(self, state: ClientConnectionState) -> None:
-        """Go on where another process has stopped."""
+        """Restore the state that another process has exported."""
         self._receive_buffer.restore(state.unread)
         self._has_answered = state.has_answered
         self._requests.bad_request_count = state.bad_request_count
--- a/winchspan/net/client_listener.py
+++ b/winchspan/net/client_listener.py
@@ -1,4 +1,4 @@
-"""All client connections, and the socket that accepts them."""
+"""The listening socket for clients, and all client connections."""
 
 from __future__ import annotations
 
@@ -25,31 +25,31 @@
 from winchspan.runtime.timers import TimerQueue
 
 ACCEPT_RETRY_SECONDS: Final = 0.1
-"""After the system has refused to accept."""
+"""Delay before accepting is retried after a system error."""
 
 MAX_ACCEPTS_PER_CYCLE: Final = 16
-"""Connections accepted, or evicted, before others are served."""
+"""Most connections that are accepted or evicted before other events are processed."""
 
 SWEEP_INTERVAL_MS: Final = 100.0
-"""Between two searches for connections that are over their time."""
+"""Time between two searches for expired connections."""
 
 IDLE_FRACTION: Final = 8
-"""Of the connections that may be open, one in so many may be idle."""
+"""Divisor of the connection limit that gives the limit of idle connections."""
 
 CLOSE_LIMIT_MS: Final = 150.0
-"""At the very end, for connections to be closed by their clients."""
+"""Time at shutdown for clients to close their connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListenerOptions:
-    """What the listener is told beside what it works with.
+    """The options of the listener.
 
     Attributes:
-        limit: connections that may be open.
-        free_descriptor: closes an idle connection elsewhere; False if there is none.
-        explains_rejections: whether rejections say why in words.
-        poll_monitor: bounds the age of what is read; None: all has just come.
-        replication: what a reply waits for; None: nothing.
+        limit: the most connections that may be open.
+        free_descriptor: closes an idle connection of another pool; returns False if there is none.
+        explains_rejections: whether rejection replies include the reason in words.
+        poll_monitor: bounds the age of received bytes; None: their age is taken as 0.
+        replication: replicates messages before their reply; None: replies do not wait.
     """
 
     limit: int
@@ -60,12 +60,12 @@
 
 
 class ClientConnections:
-    """Accepts clients as far as there is room, and closes the connections that are over their time.
+    """Accepts clients while there is capacity, and closes expired connections.
 
     Attributes:
-        intake: takes messages on.
-        replication: what a reply waits for; None: nothing.
-        poll_monitor: bounds the age of what is read.
+        intake: accepts messages.
+        replication: replicates messages before their reply; None: replies do not wait.
+        poll_monitor: bounds the age of received bytes.
         is_closing_idle: whether each connection is closed once it is idle.
         is_out_of_service: whether operators have taken this courier out of service.
     """
@@ -78,14 +78,14 @@
         budget: SocketBudget,
         options: ListenerOptions,
     ) -> None:
-        """Make it, closed.
+        """Create a listener that does not accept yet.
 
         Args:
-            intake: takes messages on.
-            clock: the courier's.
-            timers: the courier's.
-            budget: of the process's sockets.
-            options: see there.
+            intake: accepts messages.
+            clock: the courier's clock.
+            timers: the courier's timers.
+            budget: the process's socket budget.
+            options: limits and optional collaborators.
         """
         self.intake = intake
         self.replication = options.replication
@@ -109,23 +109,23 @@
         self._all_closed: asyncio.Event | None = None
         self._tasks: set[asyncio.Task[object]] = set()
 
-    # ---- what connections ask for ------------------------------------------------------------------------
+    # ---- services for connections ------------------------------------------------------------------------
     def now(self) -> float:
         """Return the clock's reading in ms."""
         return self._clock.now()
 
     def next_use(self) -> int:
-        """Return a number that grows with each use of any connection."""
+        """Return the next number of a sequence that counts uses of all connections."""
         self._use_count += 1
-        self._start_accepting()  # the connection that was used may be evicted now
+        self._start_accepting()  # the used connection may be evicted now
         return self._use_count
 
     def call_later(self, delay: float, action: Callable[[], None]) -> None:
-        """Call after some ms, and after what the loop has at hand."""
+        """Call `action` after `delay` ms, and after the loop has processed its pending events."""
         self._timers.call_later(delay, action)
 
     def format_rejection(self, rejection: RejectedError) -> str:
-        """Return the error reply; whole milliseconds, rounded up: nobody comes too soon."""
+        """Return the error reply; its milliseconds are rounded up, so that clients do not retry too early."""
         if not rejection.retry_after_ms:
             return "BUSY"
         reply = f"BUSY {ceil(rejection.retry_after_ms)}"
@@ -134,12 +134,12 @@
         return reply
 
     def add(self, connection: ClientConnection) -> None:
-        """Count a connection in."""
+        """Register a connection, and count its socket."""
         connection.handle = self._connections.add(connection)
         self._budget.open_count += 1
 
     def remove(self, connection: ClientConnection) -> None:
-        """Forget a connection that is closed; there is room again."""
+        """Remove a closed connection, and resume accepting."""
         if self._connections.remove(connection.handle) is not None:
             self._budget.open_count -= 1
             self._start_accepting()
@@ -148,12 +148,12 @@
 
     # ---- accepting ---------------------------------------------------------------------------------------
     def set_limit(self, limit: int) -> None:
-        """Let so many connections be open from now on."""
+        """Set the most connections that may be open, and the limit of idle ones."""
         self._limit = limit
         self._idle_limit = max(MAX_ACCEPTS_PER_CYCLE, limit // IDLE_FRACTION)
 
     def listen(self, loop: asyncio.AbstractEventLoop, listener: Listener) -> int:
-        """Accept the clients of a listening socket; returns its port."""
+        """Start to accept on a listening socket; return its port."""
         self._listener = listener
         self._loop = loop
         self._start_accepting()
@@ -165,20 +165,20 @@
             return
         self._is_accepting = True
         self._backlog_age.resume()
-        self._loop.add_reader(self._listener, self._accept)  # type: ignore[arg-type]  # it has a descriptor
+        self._loop.add_reader(self._listener, self._accept)  # type: ignore[arg-type]  # a listener has a descriptor
 
     def _stop_accepting(self) -> None:
         if self._loop is not None and self._listener is not None and self._is_accepting:
             self._is_accepting = False
             self._backlog_age.pause()
-            self._loop.remove_reader(self._listener)  # type: ignore[arg-type]  # it has a descriptor
+            self._loop.remove_reader(self._listener)  # type: ignore[arg-type]  # a listener has a descriptor
 
     def _accept(self) -> None:
-        """Accept the first that wait, as far as there are sockets for them.
+        """Accept the oldest clients of the backlog while sockets are available.
 
-        asyncio's own server accepts the whole backlog before it looks at one connection: near the limit it
-        runs out of descriptors and then accepts nobody for a second. Here the rest waits in the backlog: a
-        client whose connection ends without a reply has lost its message.
+        asyncio's own server accepts the whole backlog before it serves a connection: near the limit it runs
+        out of descriptors and then accepts no clients for a second. Here the other clients wait in the
+        backlog, because a client whose connection ends without a reply loses its message.
         """
         assert self._listener is not None and self._loop is not None
         received_after_ms = self._backlog_age.begin_accepting()
@@ -215,39 +215,43 @@
         self, loop: asyncio.AbstractEventLoop, connection: ClientConnection, sock: socket.socket
     ) -> None:
         try:
-            if isinstance(sock, socket.socket):  # asyncio sets it on sockets that it makes itself
+            if isinstance(sock, socket.socket):  # asyncio sets it only on sockets it creates
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             await loop.connect_accepted_socket(lambda: connection, sock)
         except OSError as err:
             logger.warning("client connection: {}", err)
             self.remove(connection)
 
-    # ---- making room -------------------------------------------------------------------------------------
+    # ---- expiry and eviction -----------------------------------------------------------------------------
     def close_expired(self) -> None:
-        """Close the connections that are over their time, again and again."""
+        """Close expired and excess idle connections, and schedule the next sweep."""
         now_ms = self._clock.now()
         for connection in self._connections:
             connection.close_if_expired(now_ms)
         for connection in self._closable_by_use()[self._idle_limit :]:
             if not connection.has_unread_bytes:
                 connection.close()
-        self._start_accepting()  # those that kept others out may be silent for long enough now
+        self._start_accepting()  # silent connections may be evictable by now
         self._timers.call_later(SWEEP_INTERVAL_MS, self.close_expired)
 
     def _closable_by_use(self) -> list[ClientConnection]:
-        """Return the connections between two requests, the best to keep first: no bad request, used last.
+        """Return the connections between two requests: without bad requests first, then by last use.
 
-        Few may stay so. Guards against clients that ask once and keep their connection: those of a deployment
-        may hold only so many, and idle ones of the last two seconds can be all of them.
+        Only a limited number may stay open. Guards against clients that send one request and keep their
+        connection: idle connections of the last two seconds could use up the connections of a deployment.
         """
-        closable = (one for one in self._connections if one.is_closable())
-        return sorted(closable, key=lambda one: (one.bad_request_count == 0, one.last_use), reverse=True)
+        closable = (connection for connection in self._connections if connection.is_closable())
+        return sorted(
+            closable,
+            key=lambda connection: (connection.bad_request_count == 0, connection.last_use),
+            reverse=True,
+        )
 
     def _has_capacity(self) -> bool:
-        """Whether one more may be accepted; if not, others are evicted, where they may be.
+        """Return whether another connection may be accepted; evict connections if not.
 
-        First those that have been silent for longest, then the one unused for longest. Guards against
-        hundreds of silent clients that would keep the usual ones in the backlog for seconds.
+        Evicts the connections that have been silent for longest, or else the least recently used one.
+        Guards against hundreds of silent clients that would keep other clients in the backlog for seconds.
         """
         is_below_limit = len(self._connections) < self._limit
         if is_below_limit and (self._budget.available() > 0 or self._free_descriptor()):
@@ -262,42 +266,42 @@
     # ---- draining and shutdown ---------------------------------------------------------------------------
     @property
     def is_stopping(self) -> bool:
-        """Whether the process is about to end."""
+        """Whether shutdown has begun."""
         return self._is_stopping
 
     def begin_drain(self) -> None:
-        """Drain: `PING` says no, and idle connections are closed; who still comes is answered."""
+        """Start a drain: reject `PING` and close idle connections, but serve submits of new clients."""
         self.is_out_of_service = True
         self.is_closing_idle = True
         self._close_idle()
 
     def end_drain(self) -> None:
-        """End the drain; a shutdown goes on."""
+        """End the drain; a shutdown that has begun continues."""
         self.is_out_of_service = False
         self.is_closing_idle = self._is_stopping
 
     def begin_shutdown(self) -> None:
-        """Close each connection once it is idle; clients may still come."""
+        """Close each connection once it is idle; new clients are still accepted."""
         self._is_stopping = True
         self.is_closing_idle = True
         self._close_idle()
 
     def stop_listening(self) -> None:
-        """Accept no more; those that have come are still answered, if they ask soon."""
+        """Close the listening socket; clients in its backlog are accepted first, and still served."""
         if self._listener is not None:
             if self._is_accepting:
-                self._accept()  # who has come: a listening socket that is closed resets them
+                self._accept()  # closing the listening socket would reset waiting clients
             self._stop_accepting()
             self._listener.close()
             self._listener = None
 
     def is_awaiting_first_request(self) -> bool:
-        """Return whether a connection has just come, and its client is about to ask."""
+        """Return whether the first request of a recently accepted client may still arrive."""
         now_ms = self._clock.now()
         return any(connection.is_awaiting_first_request(now_ms) for connection in self._connections)
 
     async def close_all(self) -> None:
-        """Close all connections in order: who has sent part of a request is told that it is not taken."""
+        """Close all connections gracefully; an incomplete request is rejected with a reply."""
         self.stop_listening()
         self._all_closed = asyncio.Event()
         for connection in self._connections:
@@ -314,7 +318,7 @@
 
     # ---- upgrade -----------------------------------------------------------------------------------------
     def suspend_accepting(self, suspended: bool) -> None:
-        """Let who comes wait at the listening socket, or accept again."""
+        """Suspend accepting, so that clients wait in the backlog, or resume it."""
         self._is_suspended = suspended
         if suspended:
             self._stop_accepting()
@@ -322,25 +326,25 @@
             self._start_accepting()
 
     def untransferable_count(self) -> int:
-        """Return how many cannot be handed over yet: being accepted or closed, or with replies unread."""
+        """Return how many cannot be transferred yet: being accepted or closed, or with unsent replies."""
         return len(self._tasks) + sum(not connection.is_transferable for connection in self._connections)
 
     def abort_untransferable(self) -> None:
-        """Close the connections that cannot be handed over."""
+        """Close the connections that cannot be transferred."""
         for connection in self._connections:
             if not connection.is_transferable:
                 connection.abort()
 
     def pause_for_hand_over(self, paused: bool) -> None:
-        """Read nothing from any client, or read on."""
+        """Pause reading from all clients, or resume it."""
         for connection in self._connections:
             connection.pause_for_hand_over(paused)
 
     def export_states(self) -> list[tuple[int, ClientConnectionState]]:
-        """Return descriptors and states of all connections, those first that have part of a request."""
-        found = [connection for connection in self._connections if connection.is_transferable]
-        found.sort(key=lambda connection: not connection.has_partial_request)
-        return [connection.export_state() for connection in found]
+        """Return descriptors and states of all connections, those with an incomplete request first."""
+        transferable = [connection for connection in self._connections if connection.is_transferable]
+        transferable.sort(key=lambda connection: not connection.has_partial_request)
+        return [connection.export_state() for connection in transferable]
 
     def adopt(
         self,
@@ -349,7 +353,7 @@
         state: ClientConnectionState,
         read_until_ms: float,
     ) -> None:
-        """Go on with a connection that another process has accepted, and read until a clock reading."""
+        """Take over a connection that another process has accepted, and read until `read_until_ms`."""
         connection = ClientConnection(self)
         connection.import_state(state)
         connection.mark_unread_since(read_until_ms)
--- a/winchspan/net/connection_pool.py
+++ b/winchspan/net/connection_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to HTTP servers: warm ones are reused, and retired in time."""
+"""The pool of connections to HTTP servers: reuses idle connections, and retires them in time."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 from winchspan.runtime.timers import Timer, TimerQueue
 
 RESPONSE_LIMIT_MS: Final = 500.0
-"""From the first byte of a response to its last."""
+"""Time from the first byte of a response to its last."""
 
 RETIREMENT_MARGIN_MS: Final = 1_000.0
-"""An idle connection is retired so long before its server closes it, or at half its time.
+"""Time before the server's keep-alive timeout at which an idle connection is retired, or half the timeout.
 
-A request that crosses with that close ends as a reset, and may have run.
+A request that is sent while the server closes the connection ends with a reset, and may have been executed.
 """
 
 
@@ -38,8 +38,8 @@
     """Time limits of connections, in ms.
 
     Attributes:
-        connect_ms: for a connection to be established.
-        keepalive_ms: after which a server closes an idle connection.
+        connect_ms: time to establish a connection.
+        keepalive_ms: idle time after which a server closes a connection.
     """
 
     connect_ms: float
@@ -48,12 +48,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CallOptions:
-    """What a call may ask for beside its request.
+    """Options of a call.
 
     Attributes:
-        on_body: gets the pieces of the response's body as they come; None: they are kept.
-        start_by_ms: clock reading by which it must be written, or is recalled.
-        on_written: called once its last byte is written.
+        on_body: called with each received piece of the response's body; None: the body is collected.
+        start_by_ms: clock reading by which the call must be written, or is recalled; None: no limit.
+        on_written: called once the last byte of the request is written.
     """
 
     on_body: Callable[[bytes], None] | None = None
@@ -65,7 +65,7 @@
 
 
 class HttpConnectionPool:
-    """All connections to endpoints and to discovery; idle ones by peer, the one used last at the end."""
+    """All connections to HTTP servers. The idle ones are listed by peer, the last used at the end."""
 
     def __init__(
         self,
@@ -82,10 +82,10 @@
         self.set_timeouts(timeouts)
         self._connections: SlotTable[HttpConnection] = SlotTable()
         self._idle: dict[HttpPeer, list[HttpConnection]] = {}
-        self.partially_written: set[HttpConnection] = set()  # a part of their call's bytes has left
+        self.partially_written: set[HttpConnection] = set()  # only part of their request is written
 
     def set_timeouts(self, timeouts: PoolTimeouts) -> None:
-        """Use other time limits for connections from now on."""
+        """Use other time limits for later connects and releases."""
         self._connect_timeout_ms = timeouts.connect_ms
         keepalive_ms = timeouts.keepalive_ms
         self._idle_limit_ms = max(keepalive_ms - RETIREMENT_MARGIN_MS, keepalive_ms / 2)
@@ -103,17 +103,17 @@
         on_result: Callable[[HttpCallResult], None],
         options: CallOptions = _NO_OPTIONS,
     ) -> HttpCall:
-        """Write a request on a warm connection, or else on a new one.
+        """Write a request on an idle connection, or on a new one if there is none.
 
-        A call is recalled if it is not written by `options.start_by_ms`, or if `make_request` gives nothing
-        right before its first byte.
+        The call is recalled if it is not written by `options.start_by_ms`, or if `make_request` returns an
+        empty request.
 
         Args:
-            peer: whom to call.
-            make_request: gives the request's bytes.
-            deadline_ms: clock reading at which it is given up.
-            on_result: gets the result, once.
-            options: see there.
+            peer: the server to call.
+            make_request: returns the request's bytes.
+            deadline_ms: clock reading at which the call times out.
+            on_result: called once, with the result.
+            options: optional limits and callbacks.
         """
         call = HttpCall(
             make_request,
@@ -126,18 +126,18 @@
         call.timers.append(self._timers.call_at(deadline_ms, lambda: call.abort(HttpCallOutcome.TIMED_OUT)))
         if options.start_by_ms is not None:
             call.timers.append(self._timers.call_at(options.start_by_ms, call.recall))
-        connection = self._take_warm(peer)
+        connection = self._take_idle(peer)
         if connection is not None:
             connection.start_call(call)
         else:
             self._connect(peer, call)
         return call
 
-    def _take_warm(self, peer: HttpPeer) -> HttpConnection | None:
-        """Return an idle connection that nothing has come on; those on which something has are closed."""
-        while warm := self._idle.get(peer):
-            connection = warm[-1]
-            self._forget_idle(connection)
+    def _take_idle(self, peer: HttpPeer) -> HttpConnection | None:
+        """Return an idle connection without unread input, or None; close idle ones that have received any."""
+        while idle_connections := self._idle.get(peer):
+            connection = idle_connections[-1]
+            self._remove_idle(connection)
             if not connection.has_unread_input():
                 return connection
             connection.abort()
@@ -167,21 +167,25 @@
         return HttpCall.without_connection()
 
     def recall(self, peer: HttpPeer) -> None:
-        """Recall the calls to a peer that have not been written."""
+        """Recall the calls to a peer that are not completely written."""
         for connection in self._connections:
             if connection.peer == peer and connection.call is not None:
                 connection.call.recall()
 
     def recall_partially_written(self) -> None:
-        """Recall all calls of which only a part has reached the system."""
+        """Recall all calls of which the kernel has taken only a part."""
         for connection in list(self.partially_written):
             if connection.call is not None:
                 connection.call.recall()
 
     def limit_response(self, call: HttpCall, deadline_ms: float | None = None) -> Timer:
-        """Give a response that has begun some time to end.
+        """Limit the time until a response that has begun is complete.
 
-        Guards against heads and bodies that never do, which would hold a slot until the call's deadline.
+        Guards against heads and bodies that never end, which would occupy a slot until the call's deadline.
+
+        Args:
+            call: the call of the response.
+            deadline_ms: clock reading at which the response counts as invalid; None: the standard limit.
         """
         if deadline_ms is None:
             deadline_ms = self._clock.now() + RESPONSE_LIMIT_MS
@@ -191,7 +195,7 @@
 
     # ---- idle connections --------------------------------------------------------------------------------
     def release(self, connection: HttpConnection, idle_limit_ms: float | None = None) -> None:
-        """Take a connection that is free for another call, for so many ms at most."""
+        """Add a connection to the idle ones, for the lesser of `idle_limit_ms` and the keep-alive limit."""
         self._idle.setdefault(connection.peer, []).append(connection)
         handle = connection.handle
         limit_ms = self._idle_limit_ms
@@ -202,7 +206,7 @@
     def _retire(self, handle: int) -> None:
         connection = self._connections.get(handle)
         if connection is not None and connection.call is None:
-            self._forget_idle(connection)
+            self._remove_idle(connection)
             connection.abort()
 
     def close_idle(self, peer: HttpPeer) -> None:
@@ -211,23 +215,23 @@
             connection.abort()
 
     def drain_peer(self, peer: HttpPeer) -> None:
-        """Close the connections to a peer that leaves: idle ones now, those in use after their response."""
+        """Close the connections to a peer: idle ones now, those in use after their response."""
         self.close_idle(peer)
         for connection in self._connections:
             if connection.peer == peer:
                 connection.is_closing_after_call = True
 
     def retire_oldest(self) -> bool:
-        """Close the connection that has been idle longest; False if none is idle."""
+        """Close the connection that is due for retirement first; return False if none is idle."""
         oldest = [connections[0] for connections in self._idle.values() if connections]
         if not oldest:
             return False
         connection = min(oldest, key=_retire_at)
-        self._forget_idle(connection)
+        self._remove_idle(connection)
         connection.abort()
         return True
 
-    def _forget_idle(self, connection: HttpConnection) -> None:
+    def _remove_idle(self, connection: HttpConnection) -> None:
         connections = self._idle.get(connection.peer)
         if connections and connection in connections:
             connections.remove(connection)
@@ -235,20 +239,20 @@
                 del self._idle[connection.peer]
 
     def remove(self, connection: HttpConnection) -> None:
-        """Forget a connection that is closed."""
-        self._forget_idle(connection)
+        """Remove a closed connection."""
+        self._remove_idle(connection)
         if self._connections.remove(connection.handle) is not None:
             self._budget.open_count -= 1
 
     # ---- upgrade -----------------------------------------------------------------------------------------
     def recall_all_unwritten(self) -> None:
-        """Recall the calls to endpoints that are not written."""
+        """Recall the calls to endpoints that are not completely written."""
         for connection in self._endpoint_connections():
             if connection.call is not None and not connection.is_transferable:
                 connection.call.recall()
 
     def untransferable(self, *, all_calls: bool = False) -> list[HttpConnection]:
-        """Return the connections with a call that cannot be handed over, or all with a call."""
+        """Return the connections with a call that cannot be transferred, or all with a call."""
         return [
             connection
             for connection in self._endpoint_connections()
@@ -256,23 +260,25 @@
         ]
 
     def pause_for_hand_over(self, paused: bool) -> None:
-        """Read nothing from any server, or read on."""
+        """Pause reading from all servers, or resume it."""
         for connection in self._connections:
             connection.pause_for_hand_over(paused)
 
     def transferable(self) -> tuple[list[HttpConnection], list[HttpConnection]]:
-        """Return the connections that are handed over: those with a call, and the idle ones."""
-        found = [connection for connection in self._endpoint_connections() if connection.is_transferable]
-        busy = [connection for connection in found if connection.call is not None]
-        idle = [connection for connection in found if connection.call is None]
+        """Return the connections to transfer: those with a call, and the idle ones."""
+        connections = [
+            connection for connection in self._endpoint_connections() if connection.is_transferable
+        ]
+        busy = [connection for connection in connections if connection.call is not None]
+        idle = [connection for connection in connections if connection.call is None]
         return busy, idle
 
     def _endpoint_connections(self) -> list[HttpConnection]:
-        """Return all connections but those to discovery."""
+        """Return all connections to endpoints, without those to the platform's own services."""
         return [connection for connection in self._connections if connection.peer.endpoint_number]
 
     def adopt_idle(self, sock: socket.socket, peer: HttpPeer, idle_limit_ms: float | None) -> None:
-        """Take over an idle connection that another process has opened, idle for so many ms more at most."""
+        """Take over an idle connection of another process, retired after `idle_limit_ms` at most."""
         connection = self._adopted_connection(peer)
         connection.idle_limit_ms = idle_limit_ms
         connection.adopt(self._loop, sock)
@@ -296,12 +302,12 @@
     def _adopted_connection(self, peer: HttpPeer) -> HttpConnection:
         connection = HttpConnection(self, peer)
         connection.is_adopted = True
-        connection.is_written = True  # from the first moment: it must not be recalled as if it were not
+        connection.is_written = True  # set before it is attached, so that its call is not recalled
         connection.handle = self._connections.add(connection)
         self._budget.open_count += 1
         return connection
 
 
 def _retire_at(connection: HttpConnection) -> float:
-    """When an idle connection is retired; the longest idle is retired first."""
+    """Return the clock reading at which an idle connection is retired."""
     return connection.retire_timer.deadline_ms if connection.retire_timer else 0.0
--- a/winchspan/net/discovery_watch.py
+++ b/winchspan/net/discovery_watch.py
@@ -1,4 +1,4 @@
-"""Follows discovery: one long response with a line for each change, opened again whenever it ends."""
+"""Watches discovery through a streaming response with a line for each change, reopened whenever it ends."""
 
 from __future__ import annotations
 
@@ -16,25 +16,28 @@
 from winchspan.runtime.timers import Timer, TimerQueue
 
 SILENCE_LIMIT_MS: Final = 3_000.0
-"""An empty line comes every 2 s while the watch lives."""
+"""Time without input after which a watch is closed; discovery sends an empty line every 2 s."""
 
 FIRST_LINE_LIMIT_MS: Final = 1_000.0
-"""The first line comes at once: a change has to be applied within 6 s, also by a third watch in a row."""
+"""Time until the first line, which discovery sends immediately.
+
+A change must be applied within 6 s, even by the third watch after two silent ones.
+"""
 
 REOPEN_DELAY_MS: Final = 200.0
-"""Between the end of a watch and the next one."""
+"""Delay between the end of a watch and the next request."""
 
-NEVER_MS: Final = 1e15
+NO_DEADLINE_MS: Final = 1e15
 _MAX_LINE_BYTES: Final = 1024 * 1024
-_OBJECT_START: Final = re.compile(rb'\s*\{\s*("|$)')  # a line with which an object may begin
+_OBJECT_START: Final = re.compile(rb'\s*\{\s*("|$)')  # a line that may begin an object
 _STRING: Final = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
 class DiscoveryWatch:
-    """Keeps the endpoint directory up to date.
+    """Applies the updates of discovery to the endpoint directory.
 
     Attributes:
-        has_received: whether discovery has said something, if only that nothing is new.
+        has_received: whether a complete line has been received, an empty one included.
     """
 
     def __init__(
@@ -47,19 +50,19 @@
         self._call: HttpCall | None = None
         self._silence_timer: Timer | None = None
         self._partial_line = bytearray()
-        self._partial_object = b""  # the lines so far of an object that comes on several lines
-        self._open_bracket_count = 0  # brackets that those lines leave open
-        self._needs_snapshot = False  # ask for the full list: what came could not be used
-        self._is_superseded = False  # the call in flight, if any, is to the address before
+        self._partial_object = b""  # received lines of an object that spans several lines
+        self._open_bracket_count = 0  # in `_partial_object`
+        self._needs_snapshot = False  # request the full list, after an unusable update
+        self._is_superseded = False  # the call in flight, if any, uses the previous address
         self.has_received = False
 
     @property
     def has_response_head(self) -> bool:
-        """Whether the head of a response has come."""
+        """Whether the head of the response has been received."""
         return self._call is not None and self._call.parser.status > 0
 
     def open(self) -> None:
-        """Open the watch from the version held."""
+        """Request the changes since the directory's version, or the full list."""
         self._is_superseded = False
         self._partial_line.clear()
         self._partial_object = b""
@@ -68,15 +71,15 @@
             path += f"&since={self._directory.sequence}"
         request = http.encode_request("GET", path, str(self._address))
         self._call = self._pool.start_call(
-            HttpPeer(self._address), lambda: request, NEVER_MS, self._reopen, CallOptions(self._receive)
+            HttpPeer(self._address), lambda: request, NO_DEADLINE_MS, self._reopen, CallOptions(self._receive)
         )
         self._restart_silence_timer(FIRST_LINE_LIMIT_MS)
 
     def set_address(self, address: Address) -> None:
-        """Follow discovery at another address from now on, from the version held.
+        """Watch discovery at another address, from the directory's version.
 
-        The watch at the old one is ended here, not left to its silence: that would leave drains unapplied
-        for seconds.
+        The previous watch is cancelled immediately: waiting for its silence limit would delay drains by
+        seconds.
         """
         if address != self._address:
             self._address = address
@@ -85,19 +88,19 @@
                 self._call.cancel()
 
     def _restart_silence_timer(self, limit_ms: float = SILENCE_LIMIT_MS) -> None:
-        """Expect something within so many ms."""
+        """Expect the next input within `limit_ms`."""
         if self._silence_timer is not None:
             self._silence_timer.cancel()
         self._silence_timer = self._timers.call_later(limit_ms, self._silence_exceeded)
 
     def _silence_exceeded(self) -> None:
-        """Give the watch up: discovery is down, or the connection is dead."""
+        """Cancel the watch: discovery is down, or the connection is dead."""
         logger.debug("discovery: the watch is silent")
         if self._call is not None:
             self._call.cancel()
 
     def _receive(self, piece: bytes) -> None:
-        """Take the lines that are complete."""
+        """Process the complete lines of the received bytes."""
         self._restart_silence_timer()
         *lines, rest = (bytes(self._partial_line) + piece).split(b"\n")
         self._partial_line[:] = rest
@@ -105,20 +108,20 @@
             self.has_received = True
             self._process_line(line)
         if len(self._partial_line) + len(self._partial_object) > _MAX_LINE_BYTES:
-            logger.warning("discovery: a line of over {} bytes", _MAX_LINE_BYTES)
+            logger.warning("discovery: an update exceeds {} bytes", _MAX_LINE_BYTES)
             self._request_snapshot()
 
     def _process_line(self, line: bytes) -> None:
-        """Take one line, or keep it while it leaves an object open: lists may come indented, over many lines.
+        """Process one line, or store it while its object is incomplete: an indented list spans many lines.
 
-        A line that is empty or begins a list of its own ends an open object: that one was cut.
+        An empty line, or a line that begins a new list, means that an incomplete object was truncated.
         """
         if self._partial_object and (not line.strip() or line.startswith(b'{"seq"')):
-            logger.warning("discovery: a list was cut")
+            logger.warning("discovery: the endpoint list was truncated")
             self._request_snapshot()
             return
         open_before = self._open_bracket_count if self._partial_object else 0
-        open_now = open_before + _opened_brackets(line)
+        open_now = open_before + _unclosed_bracket_count(line)
         if (self._partial_object or _OBJECT_START.match(line)) and open_now > 0:
             self._partial_object += line + b"\n"
             self._open_bracket_count = open_now
@@ -128,7 +131,7 @@
             self._process_object(complete)
 
     def _process_object(self, data: bytes) -> None:
-        """Apply a list or a change."""
+        """Apply a full list or a change to the directory."""
         try:
             update = parse_json(data)
             if not isinstance(update, dict):
@@ -138,12 +141,12 @@
             logger.warning("discovery: unreadable update: {}", err)
             self._request_snapshot()
             return
-        # A change does not do: it may stand behind an update that could not be read and would stay unknown.
+        # Only a full list ends the request: a change does not repeat the update that could not be read.
         if update.get("whole") is True:
             self._needs_snapshot = False
 
     def _request_snapshot(self) -> None:
-        """Begin again with the full list, since what came cannot be used."""
+        """Cancel the watch and request the full list, after an unusable update."""
         self._needs_snapshot = True
         self._partial_line.clear()
         self._partial_object = b""
@@ -151,16 +154,16 @@
             self._call.cancel()
 
     def _reopen(self, result: HttpCallResult) -> None:
-        """Open the watch again once it has ended."""
+        """Schedule the next watch after one has ended."""
         self._call = None
         if self._silence_timer is not None:
             self._silence_timer.cancel()
         if result.response is not None and result.response.status != 200:
-            logger.warning("discovery: answered {}", result.response.status)
+            logger.warning("discovery: unexpected response status {}", result.response.status)
         self._timers.call_later(0.0 if self._is_superseded else REOPEN_DELAY_MS, self.open)
 
 
-def _opened_brackets(line: bytes) -> int:
-    """Return how many brackets more a line opens than it closes, outside strings; no string spans lines."""
-    bare = _STRING.sub(b"", line)
-    return bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
+def _unclosed_bracket_count(line: bytes) -> int:
+    """Return opened minus closed brackets of a line, outside strings; no string spans several lines."""
+    structure = _STRING.sub(b"", line)
+    return structure.count(b"{") + structure.count(b"[") - structure.count(b"}") - structure.count(b"]")
--- a/winchspan/net/endpoint_directory.py
+++ b/winchspan/net/endpoint_directory.py
@@ -1,4 +1,4 @@
-"""The endpoints that discovery lists, numbered, with those that operators have taken offline."""
+"""The endpoints that discovery lists, with stable numbers, and those that operators have taken offline."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 from winchspan.net.http_call import HttpPeer
 
 MAX_GONE_ENDPOINTS: Final = 1_000
-"""Endpoints off the list that are remembered: calls to them may still be in flight."""
+"""Upper bound on stored endpoints that are no longer listed; calls to them may still be in flight."""
 
 MAX_KNOWN_NAMES: Final = 5_000
-"""Names of endpoints that operators may still use."""
+"""Upper bound on the endpoint names that operators can refer to."""
 
 MAX_OFFLINE_ENDPOINTS: Final = 500
-"""Endpoints taken offline by operators: their names are in the journal."""
+"""Upper bound on endpoints taken offline by operators; their names are stored in the journal."""
 
 MAX_DESTINATION_NUMBER: Final = 10**18 - 1
-"""The greatest number of a destination that clients can name; a hand-over encodes it in 64 bits."""
+"""The greatest destination number that clients can send; an upgrade encodes it in 64 bits."""
 
 _STATUSES: Final = {
     "up": api.EndpointStatus.IN_SERVICE,
@@ -42,17 +42,17 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointRecord:
-    """An endpoint as the list names it.
+    """An endpoint of the list.
 
     Attributes:
-        number: the directory's own number of it.
-        name: the list's name of it.
-        address: where it listens.
-        destination: the destination that it belongs to.
-        zone: where it is.
-        kind: the kind of destination, as the settings name it.
-        status: whether it takes anything new.
-        listed_rate: calls a second, where the settings say so.
+        number: the number that the directory assigned.
+        name: the name in the list.
+        address: the address that the endpoint listens on.
+        destination: the number of its destination.
+        zone: its site.
+        kind: the kind of its destination, as in the settings.
+        status: whether the endpoint accepts new calls.
+        listed_rate: its share in the list; calls a second if the settings define it so.
     """
 
     number: int
@@ -66,24 +66,24 @@
 
     @property
     def peer(self) -> HttpPeer:
-        """Whom its connections lead to."""
+        """The HTTP peer of the endpoint's connections."""
         return HttpPeer(self.address, self.number)
 
     def to_entry(self) -> api.EndpointEntry:
-        """Return the endpoint as the scheduler sees it."""
+        """Return the entry of the endpoint for the scheduler."""
         return api.EndpointEntry(
             self.number, self.destination, self.status, self.zone, self.kind, self.listed_rate
         )
 
 
 class EndpointDirectory:
-    """Numbers the endpoints and keeps what was last said of each.
+    """Assigns numbers to endpoints and stores the latest record of each.
 
     Attributes:
-        sequence: the version of the list that is held; -1: none.
-        endpoints: all endpoints that are remembered, by number.
-        endpoint_counts: destinations that are known, with how many of the endpoints are theirs.
-        offline_names: endpoints that operators have taken offline, whatever the list says.
+        sequence: the version of the stored list; -1: none.
+        endpoints: all stored endpoints, by number.
+        endpoint_counts: the number of stored endpoints, by destination.
+        offline_names: names of the endpoints that operators have taken offline, regardless of the list.
     """
 
     def __init__(
@@ -92,21 +92,21 @@
         on_drain: Callable[[HttpPeer], None] = lambda _: None,
         on_offline_change: Callable[[list[str]], None] = lambda _: None,
     ) -> None:
-        """Make an empty directory.
+        """Create an empty directory.
 
         Args:
-            on_update: gets each change for the scheduler.
-            on_drain: gets each peer that takes nothing new.
-            on_offline_change: gets the names that are offline, whenever they change.
+            on_update: called with each update for the scheduler.
+            on_drain: called with each peer that must get no new calls.
+            on_offline_change: called with the sorted names of all offline endpoints whenever they change.
         """
         self.sequence = -1
         self.endpoints: dict[int, EndpointRecord] = {}
         self.endpoint_counts: dict[int, int] = {}
         self.offline_names: set[str] = set()
         self._numbers: dict[tuple[str, int], int] = {}
-        self._next = count(1)
-        self._known_names: dict[str, None] = {}  # names that were ever in the list, oldest first
-        self._returning_names: set[str] = set()  # back online, and not yet told to the scheduler
+        self._new_numbers = count(1)
+        self._known_names: dict[str, None] = {}  # names that have been listed, oldest first
+        self._returning_names: set[str] = set()  # online again, and not yet published
         self._on_update = on_update
         self._on_drain = on_drain
         self._on_offline_change = on_offline_change
@@ -115,23 +115,27 @@
     def apply(self, update: Mapping[str, Any], scope: api.UpdateScope | None = None) -> None:
         """Apply one list or change.
 
-        An entry that cannot be read is passed over: it must not hide the drain of another.
+        An invalid entry is skipped, so that it does not prevent the drain of another endpoint.
+
+        Args:
+            update: the decoded JSON object.
+            scope: the scope to publish; None: full list or changes, by the update.
 
         Raises:
-            FieldError: it cannot be read at all.
+            FieldError: the update itself is invalid.
         """
         data = dict(update)
         sequence = read_integer(data, "seq")
         is_complete = read_field(data, "whole", bool, False)
         records = self._read_endpoints(data)
         if sequence < self.sequence or (sequence == self.sequence and not is_complete):
-            return  # stale: the list held is newer
+            return  # stale: the stored list is newer
         self.sequence = sequence
         if is_complete:
             self._mark_missing_as_gone(records)
         for record in records:
             self._store(record)
-        self._forget()
+        self._drop_excess()
         if scope is None:
             scope = api.UpdateScope.SNAPSHOT if is_complete else api.UpdateScope.CHANGES
         self._publish(scope, records)
@@ -142,19 +146,19 @@
             try:
                 records.append(self._read_endpoint(row))
             except FieldError as err:
-                logger.warning("discovery: passed over an entry: {}", err)
+                logger.warning("discovery: skipped an invalid entry: {}", err)
         return records
 
     def _read_endpoint(self, row: object) -> EndpointRecord:
-        """Read one entry of the list."""
+        """Return the record of one list entry; raises FieldError if it is invalid."""
         if not isinstance(row, dict):
             raise FieldError(f"hosts: an entry must be an object, not {row!r:.60}")
         name = read_field(row, "host", str)
-        dest = _read_destination(row)
+        destination = _read_destination(row)
         status = read_choice(_STATUSES, row.get("health", "up"), "health")
-        known = self.endpoints.get(self._numbers.get((name, dest), 0))
+        known = self.endpoints.get(self._numbers.get((name, destination), 0))
         if known is not None and status is api.EndpointStatus.GONE:
-            return replace(known, status=status)  # whatever else is said of it, or is not
+            return replace(known, status=status)  # its other fields are not required
         try:
             address = parse_address(read_field(row, "dial", str), "dial")
         except ConfigError as err:
@@ -162,9 +166,9 @@
         zone = read_field(row, "site", str, "")
         kind = read_field(row, "class", str, "")
         listed_rate = max(0.0, read_finite_number(row, "share", 1.0))
-        number = self._numbers.get((name, dest)) or next(self._next)
-        self._numbers[name, dest] = number
-        return EndpointRecord(number, name, address, dest, zone, kind, status, listed_rate)
+        number = self._numbers.get((name, destination)) or next(self._new_numbers)
+        self._numbers[name, destination] = number
+        return EndpointRecord(number, name, address, destination, zone, kind, status, listed_rate)
 
     def _mark_missing_as_gone(self, records: list[EndpointRecord]) -> None:
         listed = {record.number for record in records}
@@ -173,18 +177,18 @@
             self._on_drain(record.peer)
 
     def _store(self, record: EndpointRecord) -> None:
-        before = self.endpoints.get(record.number)
+        previous = self.endpoints.get(record.number)
         self.endpoints[record.number] = record
         self._known_names[record.name] = None
-        if before is None:
+        if previous is None:
             self.endpoint_counts[record.destination] = self.endpoint_counts.get(record.destination, 0) + 1
-        elif before.address != record.address:
-            self._on_drain(before.peer)
+        elif previous.address != record.address:
+            self._on_drain(previous.peer)
         if self._entry(record).status is not api.EndpointStatus.IN_SERVICE:
             self._on_drain(record.peer)
 
     def _entry(self, record: EndpointRecord) -> api.EndpointEntry:
-        """Return an endpoint as the scheduler is to see it: one that is offline drains."""
+        """Return the scheduler's entry of an endpoint; an offline endpoint is draining."""
         entry = record.to_entry()
         if entry.status is not api.EndpointStatus.IN_SERVICE:
             return entry
@@ -199,8 +203,8 @@
                 self._returning_names.discard(record.name)
         self._on_update(api.EndpointsUpdated(scope, entries))
 
-    def _forget(self) -> None:
-        """Of the endpoints off the list drop the oldest; guards against a table that grows without end."""
+    def _drop_excess(self) -> None:
+        """Drop the oldest unlisted endpoints and names beyond their bounds, to limit the tables."""
         for name in list(self._known_names)[: max(0, len(self._known_names) - MAX_KNOWN_NAMES)]:
             del self._known_names[name]
         gone = [record for record in self.endpoints.values() if record.status is api.EndpointStatus.GONE]
@@ -220,20 +224,20 @@
         ]
 
     def in_service_endpoints(self) -> list[EndpointRecord]:
-        """Return the endpoints that new calls may go to, as the list and operators have it now."""
+        """Return the endpoints that accept new calls, by the list and the operators."""
         return [
             record
             for record in self.endpoints.values()
             if self._entry(record).status is api.EndpointStatus.IN_SERVICE
         ]
 
-    # ---- taken offline by operators ----------------------------------------------------------------------
+    # ---- endpoints taken offline by operators ------------------------------------------------------------
     def knows(self, name: str) -> bool:
-        """Return whether an endpoint was ever in the list, as far back as is remembered."""
+        """Return whether the name of an endpoint is offline, or has been listed and is still stored."""
         return name in self._known_names or name in self.offline_names
 
     def take_offline(self, name: str) -> bool:
-        """Take an endpoint offline, whatever the list says; False if no more can be."""
+        """Take an endpoint offline, regardless of the list; return False if too many are offline."""
         if name in self.offline_names:
             return True
         if len(self.offline_names) >= MAX_OFFLINE_ENDPOINTS:
@@ -244,14 +248,14 @@
         return True
 
     def bring_online(self, name: str) -> None:
-        """Bring an endpoint back; it begins with a slow start."""
+        """Bring an endpoint online again, beginning with a slow start."""
         if name in self.offline_names:
             self.offline_names.remove(name)
             self._returning_names.add(name)
             self._offline_changed(name)
 
     def _offline_changed(self, name: str) -> None:
-        """Record what is offline now, and tell the scheduler of one endpoint."""
+        """Report the offline names, and publish the changed endpoint."""
         self._on_offline_change(sorted(self.offline_names))
         records = [
             record
@@ -266,35 +270,35 @@
 
     # ---- upgrade -----------------------------------------------------------------------------------------
     def export_state(self) -> dict[str, Any]:
-        """Return all that it knows, for the process that takes over: the numbers stay the same there."""
+        """Return the complete state for the next process, which keeps the numbers."""
         return {
             "seq": self.sequence,
             "hosts": self.endpoints,
             "dests": self.endpoint_counts,
             "numbers": self._numbers,
-            "next": self._next,
+            "next": self._new_numbers,
             "by_hand": self.offline_names,
             "cold": self._returning_names,
             "ever": self._known_names,
         }
 
     def import_state(self, state: dict[str, Any]) -> None:
-        """Go on where another process has stopped.
+        """Restore the state that another process has exported.
 
-        The offline names are the journal's: they hold also what operators said during the hand-over.
+        The offline names come from the journal instead, since operators may change them during the upgrade.
         """
         self.sequence = state["seq"]
         self.endpoints = state["hosts"]
         self.endpoint_counts = state["dests"]
         self._numbers = state["numbers"]
-        self._next = state["next"]
+        self._new_numbers = state["next"]
         self._known_names = state["ever"]
         self._returning_names = state["cold"] | (state["by_hand"] - self.offline_names)
         self._publish(api.UpdateScope.CHANGES, list(self.endpoints.values()))
 
 
 def _read_destination(row: dict[str, Any]) -> int:
-    """Return the number of the destination that an entry belongs to; raises FieldError if there is none."""
+    """Return the destination number of an entry; raises FieldError if it is missing or out of range."""
     number = read_integer(row, "block")
     if abs(number) > MAX_DESTINATION_NUMBER:
         raise FieldError(f"field 'block' is out of range: {number!s:.60}")
--- a/winchspan/net/http_call.py
+++ b/winchspan/net/http_call.py
@@ -1,4 +1,4 @@
-"""One HTTP request and its end, whatever connection carries it."""
+"""One HTTP request and its result, independent of the connection that carries it."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 from winchspan.runtime.timers import Timer
 
 RequestFactory = Callable[[], list[bytes]]
-"""Makes a request's bytes right before the first of them is written; none if nothing may be sent any more."""
+"""Returns the bytes of a request right before the first is written; empty if it must not be sent any more."""
 
 
 class HttpCallOutcome(Enum):
     """How a call ended."""
 
     ANSWERED = "answered"
-    NOT_WRITTEN = "not written"  # its last byte was never written
-    CONNECTION_LOST = "broken"  # the connection ended after that
+    NOT_WRITTEN = "not written"  # the last byte of the request was not written
+    CONNECTION_LOST = "broken"  # the connection ended after the request was written
     TIMED_OUT = "timed out"
     CANCELLED = "cancelled"
-    RECALLED = "recalled"  # withdrawn before its last byte was written
-    INVALID_RESPONSE = "spoilt"  # the response violates the protocol, or does not come to an end
+    RECALLED = "recalled"  # withdrawn before the last byte was written
+    INVALID_RESPONSE = "spoilt"  # the response violates the protocol, or does not end in time
 
 
 @dataclass(slots=True)
 class HttpCallResult:
-    """The end of a call.
+    """The result of a call.
 
     Attributes:
-        outcome: how it ended.
-        response: the complete response, if there was one.
-        first_line_status: the status in the response's first line, complete or not; 0 if none came.
+        outcome: how the call ended.
+        response: the response if it was accepted; of a rejection the head only.
+        first_line_status: the status in the first line of an incomplete response; 0: none received.
     """
 
     outcome: HttpCallOutcome
@@ -44,9 +44,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpPeer:
-    """Who is called: an address, and the number of the endpoint that holds it (0: discovery).
+    """A server: its address, and the number of its endpoint (0: a service of the platform).
 
-    Addresses are used again: no connection to the old holder may serve the new one.
+    Addresses are reused. The number prevents a connection to a former endpoint from serving its successor.
     """
 
     address: Address
@@ -54,22 +54,22 @@
 
 
 class CallConnection(Protocol):
-    """The connection that carries a call, as the call sees it."""
+    """The parts of a connection that its call uses."""
 
     is_written: bool
 
     @property
     def is_partially_written(self) -> bool:
-        """Whether a part of the call's bytes has reached the system, and not all."""
+        """Whether the kernel has taken some bytes of the request, but not all."""
 
     def abort(self) -> None:
-        """Close at once, whatever is on the way."""
+        """Close the connection immediately."""
 
     def has_unread_input(self) -> bool:
-        """Return whether bytes, or the end, have come that the loop has not read yet."""
+        """Return whether the loop has not yet read received bytes or the end of the stream."""
 
     def call_after_next_poll(self, action: Callable[[], None]) -> None:
-        """Call once what has come by now has been read."""
+        """Call `action` once the loop has read the input that has arrived by now."""
 
 
 class HttpCall:
@@ -80,7 +80,7 @@
         "context",
         "forced_outcome",
         "has_response_limit",
-        "is_last_read_due",
+        "is_final_read_scheduled",
         "make_request",
         "on_result",
         "on_written",
@@ -99,14 +99,14 @@
         has_response_limit: bool,
         start_by_ms: float | None,
     ) -> None:
-        """Make a call that no connection carries yet.
+        """Create a call without a connection.
 
         Args:
-            make_request: gives the request's bytes.
-            on_result: gets the result, once.
-            parser: reads the response.
-            has_response_limit: whether a response that has begun must end soon; a watch's never does.
-            start_by_ms: clock reading by which it must be written, or is recalled; None: no limit.
+            make_request: returns the request's bytes.
+            on_result: called once, with the result.
+            parser: parses the response.
+            has_response_limit: whether a response must end soon after its begin; a watch's is endless.
+            start_by_ms: clock reading by which the call must be written, or is recalled; None: no limit.
         """
         self.make_request = make_request
         self.on_result: Callable[[HttpCallResult], None] | None = on_result
@@ -117,51 +117,51 @@
         self.timers: list[Timer] = []
         self.response_timer: Timer | None = None
         self.forced_outcome: HttpCallOutcome | None = None
-        self.is_last_read_due = False  # it is given up once what has come is read
-        self.on_written: Callable[[], None] | None = None  # called once the last byte is written
-        self.context: Any = None  # what its owner needs to read the response
+        self.is_final_read_scheduled = False  # it is aborted once pending input is read
+        self.on_written: Callable[[], None] | None = None  # called once the request is written
+        self.context: Any = None  # the owner's data for reading the response
 
     @classmethod
     def without_connection(cls) -> HttpCall:
-        """Return a call without a connection yet, such as one that another process has written."""
+        """Return a call without a connection and request, such as the call of another process."""
         return cls(list, ignore_result, ResponseParser(), has_response_limit=True, start_by_ms=None)
 
     def cancel(self) -> None:
-        """Stop waiting; the result is delivered once the connection is closed."""
+        """Cancel the call; the result is delivered once the connection is closed."""
         self.abort(HttpCallOutcome.CANCELLED)
 
-    def lessen(self) -> None:
-        """Drop messages that are over: the request is made without them, or recalled if partially written."""
+    def drop_unwanted_messages(self) -> None:
+        """Drop completed messages: recalls a partially written call; a later request leaves them out."""
         if self.connection is not None and self.connection.is_partially_written:
             self.abort(HttpCallOutcome.RECALLED)
 
     def recall(self) -> None:
-        """Withdraw it, unless it has been written."""
+        """Withdraw the call, unless it has been written."""
         if self.connection is not None and not self.connection.is_written:
             self.abort(HttpCallOutcome.RECALLED)
 
     def abort(self, outcome: HttpCallOutcome) -> None:
-        """Give the call up by closing its connection.
+        """Abort the call by closing its connection.
 
-        What has come by then is read first. Guards against a response that crosses with the end of its call:
-        a wait that it tells binds, and a delivery is one.
+        Reads the input that has arrived first. Guards against losing a response that arrives just before the
+        abort: its backoff must be respected, and its delivery counts.
         """
         if self.on_result is None or self.forced_outcome is not None or self.connection is None:
             return
         if self._may_have_response(self.connection):
-            self.is_last_read_due = True
+            self.is_final_read_scheduled = True
             self.connection.call_after_next_poll(lambda: self.abort(outcome))
             return
         self.forced_outcome = outcome
         self.connection.abort()
 
     def _may_have_response(self, connection: CallConnection) -> bool:
-        """Return whether something has come that is still to be read, once, before the call is given up."""
-        is_candidate = connection.is_written and self.has_response_limit and not self.is_last_read_due
+        """Return whether the connection has unread input; True at most once for a call that is aborted."""
+        is_candidate = connection.is_written and self.has_response_limit and not self.is_final_read_scheduled
         return is_candidate and connection.has_unread_input()
 
     def complete(self, result: HttpCallResult) -> None:
-        """Deliver the result, once."""
+        """Deliver the result; later calls have no effect."""
         on_result = self.on_result
         self.on_result = None
         for timer in self.timers:
@@ -171,16 +171,16 @@
 
 
 class HttpCallState(NamedTuple):
-    """What one process hands to the next of a call in flight, beside its connection.
+    """The state of a call in flight that an upgrade transfers together with its connection.
 
     Attributes:
-        peer: who is called.
-        deadline_ms: clock reading at which it is given up.
-        context: what its owner needs to read the response.
-        parser: the response so far.
-        unread: bytes received that the parser could not use yet.
-        response_deadline_ms: clock reading at which a response that has begun counts as spoilt.
-        is_closing_after_call: whether the connection is closed after it.
+        peer: the server.
+        deadline_ms: clock reading at which the call times out.
+        context: the owner's data for reading the response.
+        parser: the parser with the response so far.
+        unread: received bytes that are not parsed yet.
+        response_deadline_ms: clock reading at which an incomplete response is invalid; None: not begun.
+        is_closing_after_call: whether the connection is closed after the call.
     """
 
     peer: HttpPeer
@@ -193,4 +193,4 @@
 
 
 def ignore_result(result: HttpCallResult) -> None:
-    """Take the result of a call that nobody waits for."""
+    """Discard the result of a call."""
--- a/winchspan/net/http_connection.py
+++ b/winchspan/net/http_connection.py
@@ -1,6 +1,6 @@
-"""One connection to an HTTP server, with one call at a time on it.
+"""One connection to an HTTP server, which carries one call at a time.
 
-Nothing is sent again here. A call ends in exactly one `HttpCallResult`, once its connection is closed or idle
+This layer does not retry. Each call gets exactly one `HttpCallResult`, once its connection is closed or idle
 again.
 """
 
@@ -22,7 +22,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """The pool, as a connection sees it."""
+    """The parts of the pool that a connection uses."""
 
     partially_written: set[HttpConnection]
 
@@ -30,28 +30,28 @@
         """Return the clock's reading in ms."""
 
     def release(self, connection: HttpConnection, idle_limit_ms: float | None = None) -> None:
-        """Take a connection that is free for another call."""
+        """Add a connection to the idle ones."""
 
     def remove(self, connection: HttpConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a closed connection."""
 
     def limit_response(self, call: HttpCall, deadline_ms: float | None = None) -> Timer:
-        """Give a response that has begun some time to end."""
+        """Limit the time until a response that has begun is complete."""
 
 
 class HttpConnection(asyncio.BufferedProtocol):
     """One connection: connecting, idle, busy with one call, or closed.
 
     Attributes:
-        peer: who is at its other end.
-        call: the call on it, if it is busy.
-        handle: its number in the pool.
-        is_written: whether its call's last byte has reached the system.
-        is_adopted: whether another process has opened it.
-        is_closing_after_call: its peer leaves, and no further call may go on it.
-        idle_limit_ms: ms that it may stand idle; None: as any other.
-        retire_timer: closes it when it has been idle for long enough.
-        is_closed: whether it is over.
+        peer: the server.
+        call: the call that the connection carries; None: idle.
+        handle: the connection's number in the pool.
+        is_written: whether the kernel has taken the last byte of the request.
+        is_adopted: whether another process has opened the connection.
+        is_closing_after_call: whether it is closed after its call, since its peer is being drained.
+        idle_limit_ms: idle time of an adopted connection until it is retired; None: the pool's limit.
+        retire_timer: closes the connection at the end of its idle time.
+        is_closed: whether it is closed.
     """
 
     def __init__(self, pool: ConnectionOwner, peer: HttpPeer) -> None:
@@ -61,7 +61,7 @@
         self.is_adopted = False
         self.is_closing_after_call = False
         self.handle = 0
-        self._socket: socket.socket | None = None  # adopted, and not the loop's yet
+        self._socket: socket.socket | None = None  # adopted, and not yet owned by the loop
         self.call: HttpCall | None = None
         self.retire_timer: Timer | None = None
         self._buffer = ReceiveBuffer()
@@ -72,7 +72,7 @@
 
     # ---- lifetime -----------------------------------------------------------------------------------------
     def connect(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Start to connect, for the call at hand."""
+        """Start to connect, for the call that is set."""
         self._loop = loop
         self._connecting = loop.create_task(self._connect(loop))
 
@@ -83,7 +83,7 @@
             self._close()
 
     def adopt(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
-        """Go on with a connection that another process has opened."""
+        """Take over a connection that another process has opened."""
         self._loop = loop
         self._socket = sock
         self._connecting = loop.create_task(self._adopt(loop, sock))
@@ -93,18 +93,18 @@
         try:
             await loop.connect_accepted_socket(lambda: self, sock)
         except OSError:
-            self.is_written = True  # by whoever opened it
+            self.is_written = True  # by the process that opened it
             self._close()
 
     def abort(self) -> None:
-        """Close at once, whatever is on the way."""
+        """Close the connection immediately."""
         if self._transport is not None:
             self._transport.abort()
         elif self._connecting is not None:
-            if self._socket is not None:  # adopted, and given up before the loop has it
+            if self._socket is not None:  # adopted, and aborted before the loop owns it
                 self._socket.close()
             self._connecting.cancel()
-            self._loop.call_soon(self._close)  # a task cancelled before its first step does not get there
+            self._loop.call_soon(self._close)  # a task cancelled before its first step never calls it
 
     def start_call(self, call: HttpCall) -> None:
         """Write a call on this idle connection."""
@@ -117,42 +117,42 @@
 
     @property
     def is_established(self) -> bool:
-        """Whether the connection is up."""
+        """Whether the connection is established."""
         return self._transport is not None
 
     @property
     def is_partially_written(self) -> bool:
-        """Whether a part of its call has reached the system, and not all."""
+        """Whether the kernel has taken some bytes of the request, but not all."""
         return self in self._pool.partially_written
 
     def has_unread_input(self) -> bool:
-        """Return whether bytes, or the end, have come that the loop has not read yet.
+        """Return whether the loop has not yet read received bytes or the end of the stream.
 
-        Guards against a second copy of the last response that would be taken for the next one.
+        Guards against a duplicate of the last response, which would be read as the next response.
         """
         if self._transport is None:
             return False
         sock = self._transport.get_extra_info("socket")
         if sock is None:
             has_unread = self._transport.get_extra_info("unread")
-            return bool(has_unread is not None and has_unread())  # an emulated one knows it itself
+            return bool(has_unread is not None and has_unread())  # an emulated transport reports it itself
         poll = select.poll()
         poll.register(sock.fileno(), select.POLLIN)
         return bool(poll.poll(0))
 
     def call_after_next_poll(self, action: Callable[[], None]) -> None:
-        """Call once what has come by now has been read: the loop runs timers behind what its poll found."""
+        """Call `action` once pending input has been read: the loop runs timers after polled events."""
         self._loop.call_later(0.0, action)
 
     def _write(self) -> None:
         assert self.call is not None and self._transport is not None
         self.is_written = False
         if self.call.start_by_ms is not None and self._pool.now() >= self.call.start_by_ms:
-            self.call.recall()  # guards against a loop that is late, whose timer has not fired yet
+            self.call.recall()  # a late loop may not have fired the timer yet
             return
         request = self.call.make_request()
         if not request:
-            self.call.recall()  # guards against messages that ended while the connection came up
+            self.call.recall()  # all messages completed during the connect
             return
         self._transport.writelines(request)
         if self._transport.get_write_buffer_size() == 0:
@@ -161,14 +161,14 @@
             self._pool.partially_written.add(self)
 
     def _finish_write(self) -> None:
-        """Note that all that was to be written has reached the system."""
+        """Record that the kernel has taken the whole request."""
         self.is_written = True
         self._pool.partially_written.discard(self)
         if self.call is not None and self.call.on_written is not None:
             self.call.on_written()
 
     def _close(self) -> None:
-        """End the connection, and the call on it."""
+        """Mark the connection as closed, and complete its call."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -182,7 +182,7 @@
             call.complete(self._result_of_close(call))
 
     def _result_of_close(self, call: HttpCall) -> HttpCallResult:
-        """Return what the end of the connection means for its call."""
+        """Return the result of the call when its connection is closed."""
         if self.is_written:
             outcome = call.forced_outcome or HttpCallOutcome.CONNECTION_LOST
             return HttpCallResult(outcome, first_line_status=call.parser.first_line_status)
@@ -192,13 +192,13 @@
 
     # ---- callbacks of the loop --------------------------------------------------------------------------
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Write the call that has waited for the connection."""
+        """Write the call that waits for the connection, or add an adopted connection to the pool."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         transport.set_write_buffer_limits(high=0)
         if self.is_adopted:
             self.is_written = True
-            if self.call is None:  # not before: a call would find no transport on it
+            if self.call is None:  # not earlier: a call needs the transport
                 self._pool.release(self, self.idle_limit_ms)
         elif self.call is None or self.call.forced_outcome is not None:
             transport.abort()
@@ -208,7 +208,7 @@
     # ---- upgrade -----------------------------------------------------------------------------------------
     @property
     def is_transferable(self) -> bool:
-        """Whether it can be handed over: idle, or its call is written."""
+        """Whether it can be transferred: idle, or its call is written."""
         if self._transport is None or self._transport.is_closing() or self.is_closed:
             return False
         if self.call is None:
@@ -216,7 +216,7 @@
         return self.is_written and self.call.forced_outcome is None
 
     def export_state(self) -> HttpCallState:
-        """Return its call, as the process that takes it over must know it."""
+        """Return the state of its call for the next process."""
         call = self.call
         assert call is not None
         buffer = self._buffer
@@ -231,7 +231,7 @@
         )
 
     def import_state(self, call: HttpCall, state: HttpCallState) -> None:
-        """Go on with a call where another process has stopped, perhaps in the middle of its response."""
+        """Restore a call that another process has exported, perhaps with a part of its response."""
         self.call = call
         call.connection = self
         call.parser = state.parser
@@ -241,7 +241,7 @@
             call.response_timer = self._pool.limit_response(call, state.response_deadline_ms)
 
     def pause_for_hand_over(self, paused: bool) -> None:
-        """Read nothing, or read on."""
+        """Pause reading during an upgrade, or resume it."""
         if self._transport is not None and not self._transport.is_closing():
             if paused:
                 self._transport.pause_reading()
@@ -254,24 +254,24 @@
         return file_descriptor(self._transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the call on it."""
+        """Close the connection and complete its call."""
         self._close()
 
     def resume_writing(self) -> None:
-        """Note that all that was to be written has reached the system."""
+        """Record that the kernel has taken the whole request."""
         self._finish_write()
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return where the loop may put the next bytes."""
+        """Return the free part of the receive buffer."""
         return self._buffer.writable()
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Read on in the response."""
+        """Parse the received bytes of the response."""
         buffer = self._buffer
         buffer.end += nbytes
         call = self.call
         if call is None or call.forced_outcome is not None:
-            self.abort()  # guards against bytes that no call asked for
+            self.abort()  # unsolicited bytes
             return
         try:
             buffer.start = call.parser.feed(buffer.data, buffer.start, buffer.end)
@@ -281,7 +281,7 @@
             return
         if call.parser.is_complete or call.parser.is_rejection:
             self._finish_response(call)
-        elif not call.parser.first_line_status and not len(buffer):  # no more than an interim response
+        elif not call.parser.first_line_status and not len(buffer):  # only an interim response so far
             if call.response_timer is not None:
                 call.response_timer.cancel()
                 call.response_timer = None
@@ -289,7 +289,7 @@
             call.response_timer = self._pool.limit_response(call)
 
     def eof_received(self) -> bool:
-        """End a response without a length, which ends with the stream."""
+        """Complete a response without a length, which ends with the stream."""
         if self.call is not None and self.call.forced_outcome is None:
             self.call.parser.end_of_stream()
             if self.call.parser.is_complete:
@@ -297,9 +297,9 @@
         return False
 
     def _finish_response(self, call: HttpCall) -> None:
-        """Release the connection, or close it where it cannot be used again.
+        """Complete the call, and release the connection or close it if it cannot be reused.
 
-        A rejection ends its call with its head: the wait that it tells holds from then on.
+        A rejection completes its call with the head, so that its backoff takes effect without the body.
         """
         self.call = None
         parser = call.parser
--- a/winchspan/net/notifications.py
+++ b/winchspan/net/notifications.py
@@ -1,4 +1,4 @@
-"""Notifications to the platform: the end of each message taken on and not delivered, until acknowledged."""
+"""Notifies the platform of accepted messages that were not delivered, until it acknowledges."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 from winchspan.runtime.timers import TimerQueue
 
 RESPONSE_LIMIT_MS: Final = 100.0
-"""The response comes at once; a message's end may be 300 ms late, and no more."""
+"""Time for the response, which the platform sends immediately; notifications may be 300 ms late at most."""
 
 RETRY_DELAY_MS: Final = 50.0
 MAX_BATCH: Final = 200
-"""Notifications in one request."""
+"""Most notifications in one request."""
 
 
 @dataclass(frozen=True, slots=True)
 class Notification:
-    """One end that the platform is owed.
+    """The outcome of one message, to be sent to the platform.
 
     Attributes:
         message_id: the id of the completed message.
-        state: "failed" or "returned", as the platform reads it.
-        retry_after_ms: when its client should come again; 0: not stated.
-        on_acknowledged: called once it has been acknowledged.
-        reason: in words; sent only where the operator's file says so.
+        state: "failed" or "returned", the names of the protocol.
+        retry_after_ms: ms after which the client should submit the message again; 0: not stated.
+        on_acknowledged: called once the platform has acknowledged the notification.
+        reason: the reason in words; empty unless the operator's file enables it.
     """
 
     message_id: str
@@ -43,7 +43,7 @@
     reason: str = ""
 
     def encode(self) -> bytes:
-        """Return the notification as the platform reads it."""
+        """Return the notification as a line of JSON."""
         data: dict[str, object] = {"id": self.message_id, "state": self.state}
         if self.state == "returned" and self.retry_after_ms:
             data["after_ms"] = self.retry_after_ms
@@ -53,11 +53,11 @@
 
 
 class NotificationQueue:
-    """Sends what is pending, one request at a time; what comes meanwhile goes together in the next.
+    """Sends pending notifications, one request at a time; those added meanwhile go into the next request.
 
     Attributes:
-        is_in_flight: whether a request has been sent and not been answered.
-        may_send: asked right before a request's first byte; None: always.
+        is_in_flight: whether a request is in flight.
+        may_send: returns whether a request may be sent, right before its first byte; None: always.
     """
 
     def __init__(self, pool: HttpConnectionPool, clock: Clock, timers: TimerQueue, address: Address) -> None:
@@ -68,7 +68,7 @@
         self._pending: list[Notification] = []
         self._is_scheduled = False  # a request is due or in flight
         self._is_suspended = False
-        self._is_send_deferred = False  # something is to be sent once it is resumed
+        self._is_send_deferred = False  # a request is due once the queue is resumed
         self.is_in_flight = False
         self.may_send: Callable[[], bool] | None = None
 
@@ -76,34 +76,35 @@
         return len(self._pending)
 
     def set_address(self, address: Address) -> None:
-        """Send to another address from now on.
+        """Send later requests to another address.
 
-        What is in flight to the old one may still be acknowledged there; if not, it is repeated here.
+        The request in flight may still be acknowledged by the old address; otherwise it is repeated at the
+        new one.
         """
         if address != self._address:
             self._pool.close_idle(HttpPeer(self._address))
             self._address = address
 
     def add(self, notification: Notification) -> None:
-        """Send a notification until it is acknowledged."""
+        """Queue a notification, which is sent until it is acknowledged."""
         self._pending.append(notification)
         if not self._is_scheduled:
             self._is_scheduled = True
             self._timers.call_at(self._clock.now(), self._send)
 
     def clear(self) -> None:
-        """Forget all that is pending: another courier sends it."""
+        """Drop all pending notifications, since another courier sends them."""
         self._pending.clear()
 
     def suspend(self, suspended: bool) -> None:
-        """Send nothing new, or go on; what is in flight may still be acknowledged."""
+        """Suspend sending, or resume it; the request in flight may still be acknowledged."""
         self._is_suspended = suspended
         if not suspended and self._is_send_deferred:
             self._is_send_deferred = False
             self._timers.call_at(self._clock.now(), self._send)
 
     def _send(self) -> None:
-        if not self._pending:  # cleared meanwhile
+        if not self._pending:  # cleared since it was scheduled
             self._is_scheduled = False
             return
         if self._is_suspended:
