--- a/winchspan/net/receive_age.py
+++ b/winchspan/net/receive_age.py
@@ -1,4 +1,4 @@
-"""How old the bytes of a connection may be when they are read."""
+"""Upper bound on the age of bytes when they are read from a connection."""
 
 from __future__ import annotations
 
@@ -6,10 +6,12 @@
 
 
 class ReceiveAge:
-    """Bounds when the bytes that are read now were received, over times in which nobody read.
+    """Tracks the earliest time at which the bytes that are read can have been received.
+
+    The bound also holds across times in which reading was paused.
 
     Attributes:
-        received_after_ms: clock reading after which the bytes read last were received.
+        received_after_ms: clock reading after which the last read bytes were received.
     """
 
     __slots__ = ("_poll_monitor", "_resumed_at_poll", "_unread_since_ms", "received_after_ms")
@@ -21,21 +23,21 @@
         self.received_after_ms = 0.0
 
     def mark_unread_since(self, at_ms: float) -> None:
-        """Note that nobody has read since a reading of the clock, and that reading goes on now."""
+        """Record that the connection was not read since `at_ms`, and that reading resumes now."""
         self.received_after_ms = at_ms
         self._unread_since_ms = at_ms
         self._resumed_at_poll = self._poll_monitor.poll_count
 
     def pause(self) -> None:
-        """Note that nobody reads from now on."""
+        """Record that reading is paused."""
         self._unread_since_ms = self._poll_monitor.received_after_ms
 
     def resume(self) -> None:
-        """Note that reading goes on."""
+        """Record that reading is resumed."""
         self._resumed_at_poll = self._poll_monitor.poll_count
 
     def record_receive(self, *, may_have_more: bool) -> None:
-        """Note that bytes are read; there may be more that were received as long ago."""
+        """Record a read; with `may_have_more`, the socket may hold more bytes of the same age."""
         self.received_after_ms = self._poll_monitor.received_after(
             self._unread_since_ms, self._resumed_at_poll
         )
--- a/winchspan/net/receive_buffer.py
+++ b/winchspan/net/receive_buffer.py
@@ -2,27 +2,27 @@
 
 from __future__ import annotations
 
-_LEAST = 4 * 1024
+_MIN_SIZE_BYTES = 4 * 1024
 
 
 class ReceiveBuffer:
-    """A buffer that grows while one unit of input needs it and shrinks afterwards.
+    """A buffer that grows for a large request or response, and shrinks afterwards.
 
-    It never resizes a buffer that the loop may still look at: it replaces it.
+    It is replaced rather than resized, because the loop may still hold a view of the old one.
     """
 
     __slots__ = ("data", "end", "start")
 
     def __init__(self) -> None:
-        self.data = bytearray(_LEAST)
+        self.data = bytearray(_MIN_SIZE_BYTES)
         self.start = 0
         self.end = 0
 
     def writable(self) -> memoryview:
-        """Return where the loop may put the next bytes."""
+        """Return the free part of the buffer, which is never empty."""
         size = self.end - self.start
-        if not size and len(self.data) > _LEAST:
-            self.data = bytearray(_LEAST)
+        if not size and len(self.data) > _MIN_SIZE_BYTES:
+            self.data = bytearray(_MIN_SIZE_BYTES)
             self.start = self.end = 0
         elif size > len(self.data) // 2:
             larger = bytearray(2 * len(self.data))
@@ -34,8 +34,8 @@
         return memoryview(self.data)[self.end :]
 
     def restore(self, data: bytes) -> None:
-        """Begin with what another process has read and not parsed."""
-        self.data = bytearray(max(_LEAST, 2 * len(data)))
+        """Replace the content with bytes that another process has read and not parsed."""
+        self.data = bytearray(max(_MIN_SIZE_BYTES, 2 * len(data)))
         self.data[: len(data)] = data
         self.start, self.end = 0, len(data)
 
--- a/winchspan/net/request_executor.py
+++ b/winchspan/net/request_executor.py
@@ -1,4 +1,4 @@
-"""Executes the requests of one client's connection, as many in a dispatch cycle as it may."""
+"""Executes the requests of one client connection, up to a limit in each dispatch cycle."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from winchspan.net.submit_request import MessageIntake, parse_submit
 
 MAX_REQUESTS_PER_CYCLE: Final = 16
-"""Requests of one connection that are answered before others are served."""
+"""Most requests of one connection that are answered before other connections are served."""
 
 
 class RequestContext(Protocol):
-    """What requests are executed against."""
+    """The parts of the courier that requests use."""
 
     intake: MessageIntake
     replication: ReplicationPort | None
     is_out_of_service: bool
 
     def format_rejection(self, rejection: RejectedError) -> str:
-        """Return the error reply to a message that is rejected."""
+        """Return the text of the error reply to a rejected message."""
 
 
 @dataclass(slots=True)
@@ -34,12 +34,12 @@
 
     Attributes:
         replies: pieces of the replies, in order.
-        handles: of the messages taken on.
-        reply_ends: for each of them, the byte of the replies at which its own ends.
-        size: bytes of the replies to requests.
-        request_count: requests executed.
-        is_protocol_broken: whether what follows cannot be read as requests.
-        is_replicating: whether the last reply waits for a replica of what was taken on.
+        handles: handles of the accepted messages.
+        reply_ends: for each of them, the offset in bytes at which its reply ends.
+        size: length of the replies to requests, in bytes.
+        request_count: number of executed requests.
+        is_protocol_broken: whether the input violates the protocol, so that no further request can be read.
+        is_replicating: whether the last reply waits for the replication of its message.
     """
 
     replies: list[bytes] = field(default_factory=list)
@@ -55,7 +55,7 @@
     """Reads requests from a receive buffer and executes them.
 
     Attributes:
-        bad_request_count: bad requests so far.
+        bad_request_count: number of bad requests.
     """
 
     __slots__ = ("_context", "_parser", "bad_request_count")
@@ -71,7 +71,7 @@
         return self._parser.has_partial_request
 
     def execute_batch(self, buffer: ReceiveBuffer, age_ms: float) -> RequestBatch:
-        """Execute the complete requests, written `age_ms` ago at most, as many as one cycle may hold."""
+        """Execute complete requests, sent at most `age_ms` ago, up to the limit of one dispatch cycle."""
         batch = RequestBatch()
         try:
             while batch.request_count < MAX_REQUESTS_PER_CYCLE and not batch.is_replicating:
@@ -91,7 +91,7 @@
         return batch
 
     def _execute(self, words: list[bytes], batch: RequestBatch, age_ms: float) -> tuple[bytes, ...]:
-        """Execute one request and return the pieces of its reply; a message taken on adds its handle."""
+        """Execute one request and return the pieces of its reply; add the handle of an accepted message."""
         command = words[0].upper()
         try:
             if command == b"SUBMIT":
@@ -108,6 +108,6 @@
         except BadRequestError as err:
             self.bad_request_count += 1
             return (resp.error_reply(f"ERR {err}"),)
-        except Exception:  # guards against a fault of ours that would end every client's connection
-            logger.exception("a request failed")
+        except Exception:  # a bug must not close every client's connection
+            logger.exception("unexpected error while executing a request")
             return (resp.error_reply("ERR internal error"),)
--- a/winchspan/net/resp.py
+++ b/winchspan/net/resp.py
@@ -1,21 +1,21 @@
-"""RESP2: requests (arrays of bulk strings) are parsed in place over the receive buffer, replies encoded."""
+"""RESP2: parses requests (arrays of bulk strings) in place in the receive buffer, and encodes replies."""
 
 from __future__ import annotations
 
 MAX_WORDS = 16
-MAX_BULK = 64 * 1024
-MAX_REQUEST = MAX_BULK + 4 * 1024
-_MAX_NUMBER = 12  # digits and sign that a length may have
+MAX_BULK_BYTES = 64 * 1024
+MAX_REQUEST_BYTES = MAX_BULK_BYTES + 4 * 1024
+_MAX_LENGTH_DIGITS = 12  # of a length line, a sign included
 
 
 class RespProtocolError(Exception):
-    """The bytes are no RESP2 request."""
+    """The received bytes are not a RESP2 request; the text goes to the client."""
 
 
 class RequestParser:
-    """Finds one request after the other; keeps its place when one comes in pieces.
+    """Parses successive requests, and continues a request that arrives in pieces.
 
-    Words are kept as (start, end) positions relative to the start of the request, so that the buffer may be
+    Word positions are stored as (start, end) relative to the start of the request, so that the buffer may be
     moved between calls.
     """
 
@@ -23,79 +23,79 @@
         self._reset()
 
     def _reset(self) -> None:
-        self._at = 0  # how far the request has been understood
-        self._missing = -1  # words still to come; -1: the head has not come
-        self._bulk = -1  # length of the word being read; -1: its head has not come
+        self._parsed_bytes = 0  # bytes of the request that have been parsed
+        self._remaining_words = -1  # -1: the array header is not parsed yet
+        self._word_bytes = -1  # length of the next word; -1: its header is not parsed yet
         self._words: list[tuple[int, int]] = []
 
     @property
     def has_partial_request(self) -> bool:
-        """Whether part of a request has been read."""
-        return self._at > 0
+        """Whether part of a request has been parsed."""
+        return self._parsed_bytes > 0
 
     def next_request(self, buffer: bytearray, start: int, end: int) -> tuple[list[bytes], int] | None:
-        """Return the words of the request at `start` and where it ends, or None while it is incomplete."""
-        while self._missing != 0:
-            if self._bulk < 0:
-                mark = 0x2A if self._missing < 0 else 0x24  # '*' or '$'
-                number = self._number(buffer, start + self._at, end, mark)
+        """Return the words of the request at `start` and its end position, or None while it is incomplete."""
+        while self._remaining_words != 0:
+            if self._word_bytes < 0:
+                type_byte = 0x2A if self._remaining_words < 0 else 0x24  # '*' or '$'
+                number = self._parse_length(buffer, start + self._parsed_bytes, end, type_byte)
                 if number is None:
                     return None
-                if self._missing < 0:
+                if self._remaining_words < 0:
                     if not 1 <= number <= MAX_WORDS:
                         raise RespProtocolError(f"a request of {number} words")
-                    self._missing = number
-                elif not 0 <= number <= MAX_BULK:
+                    self._remaining_words = number
+                elif not 0 <= number <= MAX_BULK_BYTES:
                     raise RespProtocolError(f"a word of {number} bytes")
                 else:
-                    self._bulk = number
-                    if self._at + number > MAX_REQUEST:
+                    self._word_bytes = number
+                    if self._parsed_bytes + number > MAX_REQUEST_BYTES:
                         raise RespProtocolError("the request is too long")
                 continue
-            first = start + self._at
-            last = first + self._bulk
-            if end < last + 2:
+            word_start = start + self._parsed_bytes
+            word_end = word_start + self._word_bytes
+            if end < word_end + 2:
                 return None
-            if buffer[last] != 13 or buffer[last + 1] != 10:
+            if buffer[word_end] != 13 or buffer[word_end + 1] != 10:
                 raise RespProtocolError("a word does not end where it should")
-            self._words.append((self._at, self._at + self._bulk))
-            self._at += self._bulk + 2
-            self._missing -= 1
-            self._bulk = -1
+            self._words.append((self._parsed_bytes, self._parsed_bytes + self._word_bytes))
+            self._parsed_bytes += self._word_bytes + 2
+            self._remaining_words -= 1
+            self._word_bytes = -1
         with memoryview(buffer) as view:
-            words = [bytes(view[start + a : start + b]) for a, b in self._words]
-        done = start + self._at
+            words = [bytes(view[start + first : start + last]) for first, last in self._words]
+        request_end = start + self._parsed_bytes
         self._reset()
-        return words, done
+        return words, request_end
 
-    def _number(self, buffer: bytearray, at: int, end: int, mark: int) -> int | None:
-        """Return the number on the line at `at`, or None while the line is incomplete."""
+    def _parse_length(self, buffer: bytearray, at: int, end: int, type_byte: int) -> int | None:
+        """Return the length in the header line at `at`, or None while the line is incomplete."""
         if at >= end:
             return None
-        if buffer[at] != mark:
-            raise RespProtocolError(f"expected {chr(mark)!r}, got byte {buffer[at]}")
-        stop = buffer.find(b"\r\n", at + 1, min(end, at + _MAX_NUMBER + 3))
+        if buffer[at] != type_byte:
+            raise RespProtocolError(f"expected {chr(type_byte)!r}, got byte {buffer[at]}")
+        stop = buffer.find(b"\r\n", at + 1, min(end, at + _MAX_LENGTH_DIGITS + 3))
         if stop < 0:
-            if end - at > _MAX_NUMBER + 2:
+            if end - at > _MAX_LENGTH_DIGITS + 2:
                 raise RespProtocolError("a length that does not end")
             return None
         digits = buffer[at + 1 : stop]
         if not digits.isdigit():
             raise RespProtocolError("a length that is no number")
-        self._at += stop + 2 - at
+        self._parsed_bytes += stop + 2 - at
         return int(digits)
 
 
 def simple_string(text: str) -> bytes:
-    """Return a simple string."""
+    """Return an encoded simple string."""
     return f"+{text}\r\n".encode()
 
 
 def error_reply(text: str) -> bytes:
-    """Return an error; line ends inside it would break the reply."""
+    """Return an encoded error; line ends in the text are replaced, since they would end the reply."""
     return b"-" + text.replace("\r", " ").replace("\n", " ").encode("utf-8", "replace") + b"\r\n"
 
 
 def bulk_string(data: bytes) -> tuple[bytes, bytes, bytes]:
-    """Return a bulk string, in pieces for a gathered write."""
+    """Return an encoded bulk string, in pieces for a vectored write."""
     return b"$%d\r\n" % len(data), data, b"\r\n"
--- a/winchspan/net/socket_budget.py
+++ b/winchspan/net/socket_budget.py
@@ -1,4 +1,4 @@
-"""The sockets that a process may have open."""
+"""The limit of open sockets in a process."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
     """Counts open sockets against the process's limit.
 
     Attributes:
-        limit: how many may be open.
-        open_count: how many are open.
+        limit: the most sockets that may be open.
+        open_count: the number of open sockets.
     """
 
     def __init__(self, limit: int) -> None:
@@ -16,5 +16,5 @@
         self.open_count = 0
 
     def available(self) -> int:
-        """Return how many more may be opened."""
+        """Return how many more sockets may be opened."""
         return self.limit - self.open_count
--- a/winchspan/net/submit_request.py
+++ b/winchspan/net/submit_request.py
@@ -1,4 +1,4 @@
-"""The `SUBMIT` command of clients: checked, and handed to whoever accepts messages."""
+"""The `SUBMIT` command of clients: validates it, and passes the message to the intake."""
 
 from __future__ import annotations
 
@@ -21,26 +21,26 @@
         """Accept a message and return its handle; raises RejectedError or BadRequestError."""
 
     def withdraw(self, handle: int) -> None:
-        """Withdraw a message whose client has gone without its answer."""
+        """Withdraw a message whose client has disconnected before its reply was sent."""
 
-    def runs_once(self, handle: int) -> bool:
-        """Return whether a message that is held may run once only."""
+    def is_at_most_once(self, handle: int) -> bool:
+        """Return whether an accepted message may be executed only once."""
 
 
 def parse_submit(words: list[bytes], intake: MessageIntake, age_ms: float = 0.0) -> int:
-    """Read `SUBMIT KEY ID NAMES BODY` and hand the message in.
+    """Parse `SUBMIT KEY ID NAMES BODY` and submit the message to the intake.
 
     Args:
-        words: the request.
+        words: the words of the request.
         intake: accepts the message.
-        age_ms: the most that may have passed since the request was written.
+        age_ms: upper bound on the time since the client sent the request.
 
     Returns:
         The message's handle.
 
     Raises:
         BadRequestError: the request violates the protocol.
-        RejectedError: the message is not accepted now.
+        RejectedError: the message is not accepted at present.
     """
     if len(words) != 5:
         raise BadRequestError("SUBMIT takes a key, an id, a list of names and a body")
@@ -67,7 +67,7 @@
 
 
 def _parse_names(names: bytes) -> dict[str, str]:
-    """Parse and check `NAME=VALUE,NAME=VALUE`; `d` and `dest` are there, and what they should be."""
+    """Parse `NAME=VALUE,NAME=VALUE`, and validate the known names; `d` and `dest` are required."""
     values: dict[str, str] = {}
     for item in names.decode("latin-1").split(","):
         name, equals, value = item.partition("=")
--- a/winchspan/overload/__init__.py
+++ b/winchspan/overload/__init__.py
@@ -1,5 +1,5 @@
-"""Overload control: detects and damps retry storms, and tells rejected clients when to come again.
+"""Overload control: detects and damps retry storms, and tells rejected clients when to retry.
 
-`governor` is its entry point; `docs/storms.md` describes it. The decisions do no I/O and read no clock; only
-`setup`, `report` and `prometheus_metrics`, which belong to the wiring, do.
+`governor` is the entry point; `docs/storms.md` describes the design. The decisions neither do I/O nor read a
+clock; only `setup`, `report` and `prometheus_metrics` belong to the wiring and may do so.
 """
--- a/winchspan/overload/adaptive_rate.py
+++ b/winchspan/overload/adaptive_rate.py
@@ -1,7 +1,7 @@
-"""The calls that one courier may send to a destination: its share of the listed rate, less during a recovery.
+"""The rate of calls from one courier to a destination: its share of the listed rate, less during a recovery.
 
-Couriers share nothing, so that each keeps to its own share and the sum keeps to the whole. In any window of
-one second a share has a whole number of calls; what does not divide evenly goes to the couriers by number.
+Couriers do not coordinate: each respects its own share, so that all together respect the listed rate. A share
+has an integer quota of calls in any window of one second; the remainder is assigned by courier number.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 from winchspan.overload.settings import NS_PER_SECOND
 
-WINDOW_NS: Final = NS_PER_SECOND + 40_000_000  # a second, and how far calls may close up on their way
-MIN_LEVEL: Final = 0.1  # of the share: no rejection pushes the rate further down
-TRUST_DECREASE: Final = 0.85  # a rejection in calm times cuts the trust in the listed rate by 15%, and
-TRUST_INCREASE: Final = 0.01  # a delivery gives back 1% of it
-MIN_SPACING: Final = 0.5  # calls stand at least half their mean distance apart
+WINDOW_NS: Final = NS_PER_SECOND + 40_000_000  # one second, and a margin for network jitter between calls
+MIN_LEVEL: Final = 0.1  # of the share; rejections reduce the rate no further
+TRUST_DECREASE: Final = 0.85  # a rejection in the calm state reduces the trust in the listed rate by 15%
+TRUST_INCREASE: Final = 0.01  # a delivery increases it by 1% of the listed rate
+MIN_SPACING: Final = 0.5  # least interval between calls, as a share of the mean interval
 _ROUNDING_ERROR: Final = 1e-9
 
 
@@ -24,7 +24,7 @@
     """One courier's share of a rate.
 
     Attributes:
-        mean_rate: calls a second.
+        mean_rate: the mean rate, in calls a second.
         quota: the most calls in any window of one second.
     """
 
@@ -35,14 +35,15 @@
 def rate_share(rate: float, sender_count: int, sender_index: int, configured_share: float = 0.0) -> RateShare:
     """Return one courier's share of a rate.
 
-    The shares in a window sum up to one call more than the rate at most, as long as the rate gives each
-    courier one. They are rounded up where that holds, and else divided exactly, by the couriers' numbers.
+    The quotas of all couriers sum up to at most one call more than the rate, if the rate is at least one call
+    for each courier. Quotas are rounded up where the sum allows it. Otherwise the integer part of the rate is
+    divided exactly, and the remainder is assigned by `sender_index`.
 
     Args:
-        rate: calls a second of all couriers.
-        sender_count: how many couriers there are.
-        sender_index: the number of this one; any number of the same remainder will do.
-        configured_share: the share of the rate, if above 0; else all couriers have equal ones.
+        rate: rate of all couriers together, in calls a second.
+        sender_count: number of couriers.
+        sender_index: number of this courier; it counts modulo `sender_count`.
+        configured_share: this courier's share of the rate; 0: all couriers have equal shares.
     """
     if configured_share > 0.0:
         return RateShare(rate * configured_share, max(1, int(rate * configured_share + 0.5)))
@@ -57,12 +58,12 @@
 
 
 class AdaptiveRate:
-    """When the next call may be sent.
+    """Decides when the next call may be sent.
 
-    A `level` is the share of the courier's rate that may be used, from 0 to 1.
+    A `level` is the fraction of the courier's rate that may be used, from 0 to 1.
 
     Attributes:
-        trust: the share of the listed rate that rejections leave believable.
+        trust: factor for the listed rate, from `MIN_LEVEL` to 1, which rejections reduce.
     """
 
     def __init__(self, sender_count: int, sender_index: int, configured_share: float = 0.0) -> None:
@@ -70,7 +71,7 @@
         self._sender_count = sender_count
         self._sender_index = sender_index
         self._configured_share = configured_share
-        self._listed_rate = 0.0  # calls a second of all couriers; 0: not stated
+        self._listed_rate = 0.0  # of all couriers, in calls a second; 0: not listed
         self._mean_rate = 0.0
         self._quota = 1
         self._calls_sent_at: deque[int] = deque()
@@ -81,7 +82,7 @@
 
     @property
     def listed_share(self) -> float:
-        """The courier's whole share of the listed rate, in calls a second, whatever the trust in it."""
+        """The courier's share of the listed rate in calls a second, without `trust`; 0: not listed."""
         if self._listed_rate <= 0:
             return 0.0
         share = rate_share(self._listed_rate, self._sender_count, self._sender_index, self._configured_share)
@@ -89,11 +90,11 @@
 
     @property
     def mean_rate(self) -> float:
-        """The courier's whole share in calls a second; 0: not limited."""
+        """The courier's share of the trusted rate in calls a second; 0: not limited."""
         return self._mean_rate
 
     def set_listed_rate(self, rate: float) -> None:
-        """Set the rate that the endpoint list states, in calls a second; 0: not stated."""
+        """Set the rate of the endpoint list, in calls a second; 0: not listed."""
         if rate != self._listed_rate:
             self._listed_rate = rate
             self._update_share()
@@ -105,11 +106,11 @@
             )
 
     def block_window_from(self, time: int) -> None:
-        """Send nothing in the window that begins at a time: its quota may have been used already."""
+        """Allow no call in the window that begins at `time`: its quota may be used up already."""
         self._blocked_until = time + WINDOW_NS
 
     def record_rejection(self, now: int) -> None:
-        """Cut the trust in the listed rate: the destination takes less; once a second at most."""
+        """Reduce the trust in the listed rate, at most once a second: the destination rejects calls."""
         if now - self._trust_cut_at < NS_PER_SECOND:
             return
         self._trust_cut_at = now
@@ -118,24 +119,24 @@
         self._update_share()
 
     def undo_cut_since(self, time: int) -> None:
-        """Undo a cut of the trust since a time: the rejections were signs of an outage, not of the rate."""
+        """Undo a reduction of the trust since `time`: an outage caused the rejections, not the rate."""
         if self._trust_cut_at >= time:
             self.trust = self._trust_before_cut
             self._trust_cut_at = time - NS_PER_SECOND
             self._update_share()
 
     def record_delivery(self) -> None:
-        """Raise the trust in the listed rate a little."""
+        """Increase the trust in the listed rate by one step."""
         if self.trust < 1.0:
             self.trust = min(1.0, self.trust + TRUST_INCREASE)
             self._update_share()
 
     def rate_at(self, level: float) -> float:
-        """Return the calls a second at a level; 0: not limited."""
+        """Return the rate at a level, in calls a second; 0: not limited."""
         return self._mean_rate * max(MIN_LEVEL, level)
 
     def next_call_at(self, level: float, min_interval_ns: int = 0) -> int:
-        """Return the time before which the next call must not be sent; 0: it may be sent at once."""
+        """Return the time from which the next call may be sent; 0: immediately."""
         if not self._calls_sent_at:
             return self._blocked_until if self._listed_rate > 0 else 0
         last_call_at = self._calls_sent_at[-1]
@@ -150,7 +151,7 @@
         return ready_at
 
     def record_call(self, now: int) -> None:
-        """Count a call that is sent now."""
+        """Record a call that is sent now."""
         self._calls_sent_at.append(now)
         while len(self._calls_sent_at) > max(self._quota, 1):
             self._calls_sent_at.popleft()
--- a/winchspan/overload/destination_table.py
+++ b/winchspan/overload/destination_table.py
@@ -1,4 +1,4 @@
-"""Which destinations are tracked: the busiest, up to a bound, and those that are degraded."""
+"""The tracked destinations: the busiest up to a bound, and degraded ones."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from winchspan.overload.tracked_destination import TrackedDestination
 
 ARRIVALS_HALF_LIFE_NS: Final = 10 * NS_PER_SECOND
-LISTED_RATES_PER_DESTINATION: Final = 4  # rates are kept for so many times as many as are tracked
+LISTED_RATES_PER_DESTINATION: Final = 4  # stored listed rates, for each destination that may be tracked
 MIN_ANONYMOUS_RESERVATIONS: Final = 16
 
 
 class ArrivalCounter(Protocol):
-    """Counts the arrivals of destinations that are not tracked, in bounded memory."""
+    """Counts arrivals for untracked destinations, in bounded memory."""
 
     def add(self, key: int) -> int:
-        """Count one more and return the estimate."""
+        """Count one arrival of a key and return the estimated count."""
 
     def halve(self) -> None:
         """Halve all counts."""
@@ -32,8 +32,8 @@
     """The tracked destinations, and the listed rates.
 
     Attributes:
-        tracked: the tracked destinations by their numbers; only this class changes it.
-        untracked_count: how many messages were for destinations that are not tracked, and not governed.
+        tracked: the tracked destinations by number; only this class changes it.
+        untracked_count: number of messages for untracked destinations, which are not governed.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         Args:
             settings: the platform's settings.
             overload_settings: the operator's settings.
-            arrival_counter: counts the arrivals of destinations that are not tracked.
+            arrival_counter: counts arrivals for untracked destinations.
         """
         shares = overload_settings.sender_shares
         self._overload_settings = overload_settings
@@ -58,23 +58,26 @@
         self._previous_incarnation_call_at = -2 * NS_PER_SECOND
 
     def reconfigure(self, settings: api.Settings) -> None:
-        """Use other settings for the destinations that are tracked from now on."""
+        """Use other settings for destinations that are tracked later."""
         self._settings = settings
         self._sender_count = self._overload_settings.sender_count or settings.senders
 
     @property
     def entry_count(self) -> int:
-        """How many entries the tables have."""
+        """Number of entries in all tables."""
         return len(self.tracked) + len(self._listed_rates)
 
     def record_restart(self, last_call_at: int) -> None:
-        """Block the window of the previous incarnation's last call, to any destination: it used its quota."""
+        """Block the window of the previous incarnation's last call for all destinations.
+
+        The previous incarnation may have used up the quota of that window.
+        """
         self._previous_incarnation_call_at = last_call_at
         for destination in self.tracked.values():
             destination.rate.block_window_from(last_call_at)
 
     def set_listed_rate(self, destination_id: int, rate: float) -> None:
-        """Set the rate that the endpoint list states; rates of too many destinations are not kept."""
+        """Set the rate of the endpoint list; rates beyond the bound are not stored."""
         max_rates = LISTED_RATES_PER_DESTINATION * self._overload_settings.max_destinations
         if destination_id in self._listed_rates or len(self._listed_rates) < max_rates:
             self._listed_rates[destination_id] = rate
@@ -82,22 +85,22 @@
             self._apply_listed_rate(destination, rate)
 
     def _apply_listed_rate(self, destination: TrackedDestination, rate: float) -> None:
-        """Set a rate. Calls are whole: a share of one or two a second cannot be kept to."""
+        """Set a rate; a share of very few whole calls cannot be enforced, and is not governed."""
         destination.rate.set_listed_rate(self._overload_settings.rate_share * rate)
         min_rate = self._overload_settings.min_governed_rate
         destination.is_governed = destination.rate.listed_share >= min_rate
 
     def find_or_track(self, now: int, destination_id: int) -> TrackedDestination | None:
-        """Count an arrival for a destination; return it if it is among the busiest."""
-        found = self.tracked.get(destination_id)
-        if found is None:
+        """Count an arrival for a destination; return the destination if it is tracked."""
+        destination = self.tracked.get(destination_id)
+        if destination is None:
             is_full = len(self.tracked) >= self._overload_settings.max_destinations
             if is_full and not self._displace_for(now, destination_id):
                 self.untracked_count += 1
                 return None
-            found = self._track(now, destination_id)
-        found.recent_arrivals += 1
-        return found
+            destination = self._track(now, destination_id)
+        destination.recent_arrivals += 1
+        return destination
 
     def _track(self, now: int, destination_id: int) -> TrackedDestination:
         settings = self._settings
@@ -115,18 +118,18 @@
             ),
         )
         self._apply_listed_rate(destination, self._listed_rates.get(destination_id, 0.0))
-        # Guards against two incarnations that both use up the share of one second.
+        # Guards against two incarnations that each use the full quota of the same second.
         destination.rate.block_window_from(self._previous_incarnation_call_at)
         self.tracked[destination_id] = destination
         return destination
 
     def _displace_for(self, now: int, destination_id: int) -> bool:
-        """Make room for a destination that is busier than the quietest tracked one."""
+        """Stop tracking the destination with the fewest arrivals if the given one has more."""
         if now >= self._arrivals_halve_at:
             self._halve_arrivals(now)
         arrivals = self._arrival_counter.add(destination_id)
-        candidates = (one for one in self.tracked.values() if _may_be_displaced(one))
-        quietest = min(candidates, key=lambda one: one.recent_arrivals, default=None)
+        candidates = (destination for destination in self.tracked.values() if _may_be_displaced(destination))
+        quietest = min(candidates, key=lambda destination: destination.recent_arrivals, default=None)
         if quietest is None or quietest.recent_arrivals >= arrivals:
             return False
         del self.tracked[quietest.id]
@@ -140,6 +143,6 @@
 
 
 def _may_be_displaced(destination: TrackedDestination) -> bool:
-    """Return whether nothing is held; a degraded destination stays unless it had no arrivals for long."""
+    """Return whether tracking may end: no message is held, and it is calm or had no arrivals for long."""
     is_needed = destination.tracker.is_degraded and destination.recent_arrivals
     return not len(destination.held) and not is_needed
--- a/winchspan/overload/governor.py
+++ b/winchspan/overload/governor.py
@@ -1,7 +1,7 @@
-"""The overload control: what is admitted, what is sent, and when rejected clients come again.
+"""The overload control: decides on admissions, on call times, and on the retry times of rejected clients.
 
-It implements `winchspan.api.OverloadControl`. It only ever restricts: what it lets through is still decided
-by the scheduler, whose backoffs, drains, windows and slow starts hold beside it.
+It implements `winchspan.api.OverloadControl`. It only restricts: calls that it allows are still subject to
+the scheduler's backoffs, drains, windows and slow starts.
 """
 
 from __future__ import annotations
@@ -26,24 +26,24 @@
     TrackedDestination,
 )
 
-CALL_SIZE_SMOOTHING: Final = 0.125  # weight of one call in the mean of messages a call
-EVALUATION_INTERVAL_NS: Final = 50_000_000  # between two evaluations of a destination
-MAX_TRANSITIONS: Final = 256  # kept for whoever reports them
+CALL_SIZE_SMOOTHING: Final = 0.125  # weight of a call in the moving mean of messages per call
+EVALUATION_INTERVAL_NS: Final = 50_000_000  # between two storm evaluations of a destination
+MAX_TRANSITIONS: Final = 256  # bound of the transitions not reported yet
 _COURIER_FULL: Final = "the courier is full"
 
 
 class RecentKeys(Protocol):
-    """Remembers which keys came lately, in bounded memory."""
+    """Stores recent keys in bounded memory."""
 
     def check_and_add(self, now: int, key: bytes) -> bool:
-        """Remember a key; return whether it had come lately."""
+        """Add a key; return whether it was present already."""
 
 
 class OverloadGovernor(api.OverloadControl):
-    """One courier's overload control. The same settings, seed and calls give the same answers.
+    """One courier's overload control. It is deterministic in its settings, seed and calls.
 
     Attributes:
-        transitions: changes of destinations' states that are not reported yet.
+        transitions: state changes of destinations that are not reported yet.
     """
 
     def __init__(
@@ -53,13 +53,13 @@
         recent_keys: RecentKeys,
         arrival_counter: ArrivalCounter,
     ) -> None:
-        """Create a governor that knows no destination yet.
+        """Create a governor without destinations.
 
         Args:
             settings: the platform's settings.
             overload_settings: the operator's settings.
-            recent_keys: the idempotency keys that came lately.
-            arrival_counter: counts the arrivals of destinations that are not tracked.
+            recent_keys: stores recent idempotency keys.
+            arrival_counter: counts arrivals for untracked destinations.
         """
         self._overload_settings = overload_settings
         self._recent_keys = recent_keys
@@ -76,7 +76,7 @@
         self.transitions: deque[StateTransition] = deque(maxlen=MAX_TRANSITIONS)
 
     def reconfigure(self, settings: api.Settings) -> None:
-        """Use other settings from now on; what is known of destinations stays."""
+        """Use other settings, and keep the state of all destinations."""
         self._settings = settings
         self._destinations.reconfigure(settings)
         self._retry_slots.reconfigure(settings)
@@ -95,27 +95,27 @@
 
     @property
     def untracked_count(self) -> int:
-        """How many messages were for destinations that are not tracked, and not governed."""
+        """Number of messages for untracked destinations, which are not governed."""
         return self._destinations.untracked_count
 
     @property
     def entry_count(self) -> int:
-        """Entries of all tables that grow with clients and destinations."""
+        """Number of entries in all tables that grow with clients and destinations."""
         return len(self._reservations) + self._destinations.entry_count
 
     # ---- events ------------------------------------------------------------------------------------------
     def restarted(self, now: int, last_call_at: int) -> None:
-        """Leave the second of the previous incarnation's last call to it."""
+        """Allow no call in the window of the previous incarnation's last call."""
         self._destinations.record_restart(last_call_at)
 
     def rate_listed(self, now: int, destination: int, rate: float) -> None:
-        """Use the rate that the endpoint list states."""
+        """Set the rate of the endpoint list."""
         self._destinations.set_listed_rate(destination, rate)
 
     def message_arrived(
         self, now: int, event: MessageArrived, cls: MessageClass, attempt_count: int = 0
     ) -> None:
-        """Record a message that is held; failed attempts of the previous incarnation are a bad sign."""
+        """Record a held message; failed attempts of the previous incarnation suggest an outage."""
         destination = self._tracked.get(event.destination)
         if destination is None:
             destination = self._destinations.find_or_track(now, event.destination)
@@ -125,8 +125,8 @@
             now, event.message, now + event.remaining_ns - cls.deadline_ns + cls.latency_objective_ns
         )
         if attempt_count > 1:
-            # Guards against a courier that comes back in the middle of a storm and knows nothing of it: what
-            # its journal holds was tried in vain. One attempt is no sign: it was in flight at the restart.
+            # Guards against a courier that restarts during a storm and has lost its state: the attempts in
+            # its journal have failed. A single attempt may just have been in flight at the restart.
             destination.tracker.suspect(now)
             self._report_transition(now, destination)
 
@@ -152,7 +152,7 @@
     def call_ended(
         self, now: int, destination: int, outcome: Outcome, duration_ns: int, wait_ns: int
     ) -> None:
-        """Record the outcome of a call, and trust the listed rate more or less by it."""
+        """Record the outcome of a call, and adjust the trust in the listed rate."""
         tracked = self._tracked.get(destination)
         if tracked is None:
             return
@@ -172,7 +172,7 @@
 
     # ---- when to send ------------------------------------------------------------------------------------
     def ready_at(self, now: int, destination: int) -> int:
-        """Return when the next call may be sent: evenly spaced, fewer during an outage and a recovery."""
+        """Return when the next call may be sent: evenly spaced, less often in an outage or a recovery."""
         tracked = self._tracked.get(destination)
         if tracked is None or not tracked.is_governed:
             return 0
@@ -186,7 +186,7 @@
         return 0
 
     def retry_ready_at(self, now: int, destination: int) -> int:
-        """Return when a retry may be sent: by the budget while the destination is degraded."""
+        """Return when a retry may be sent: by the retry budget while the destination is degraded."""
         tracked = self._tracked.get(destination)
         if tracked is None or not tracked.is_governed or not tracked.tracker.is_degraded:
             return 0
@@ -196,7 +196,7 @@
 
     # ---- admission ---------------------------------------------------------------------------------------
     def admit(self, now: int, request: AdmissionRequest) -> Rejection | None:
-        """Admit a message unless its destination is degraded and its time or the capacity would not do."""
+        """Admit a message, unless its destination is degraded and the time or capacity is insufficient."""
         destination = self._destinations.find_or_track(now, request.destination)
         if destination is None:
             return None
@@ -225,7 +225,7 @@
     def _admit_degraded(
         self, now: int, destination: TrackedDestination, request: AdmissionRequest, *, is_retry: bool
     ) -> Rejection | None:
-        """Admit a message for a degraded destination if it can be delivered in its time."""
+        """Admit a message for a degraded destination if it can be delivered before its deadline."""
         status = self._reservation_status(now, destination, request, is_retry=is_retry)
         if status is ReservationStatus.EARLY:
             destination.count(OverloadEvent.REJECTED_EARLY)
@@ -244,16 +244,16 @@
     def _reservation_status(
         self, now: int, destination: TrackedDestination, request: AdmissionRequest, *, is_retry: bool
     ) -> ReservationStatus:
-        """Return how a client stands to its reservation; one without an idempotency key has the earliest."""
+        """Return the status of a client's reservation; without an idempotency key, claim the earliest one."""
         if request.is_resubmitted or not is_retry:
-            return ReservationStatus.NONE  # a courier that had it died, or it is new
+            return ReservationStatus.NONE  # new, or submitted again after the failure of another courier
         if request.idempotency_key:
             return self._reservations.status(now, destination.id, request.idempotency_key)
         return destination.anonymous_reservations.claim(now)
 
     # ---- rejections --------------------------------------------------------------------------------------
     def reject_when_full(self, now: int, request: AdmissionRequest, default_ns: int) -> Rejection:
-        """Reject a message for which the courier itself has no capacity."""
+        """Reject a message because the courier itself is full."""
         destination = self._tracked.get(request.destination)
         if destination is None:
             return Rejection(self._retry_slots.spread(now, default_ns) - now, _COURIER_FULL)
@@ -266,11 +266,21 @@
     def reject_held(
         self, now: int, destination: int, message: str, default_ns: int, within_ns: int | None
     ) -> Rejection | None:
-        """Reject a message that was held: its client cannot be told apart when it comes again.
+        """Reject a message that was held; its client cannot be identified when it submits again.
 
-        One that may have run, and whose retries are dropped only within a window, fails instead where its
-        client would come again behind it, and wherever the destination is governed: what is submitted again
-        may wait here longer than its window, and nothing ties it to the attempt that may have run.
+        Args:
+            now: the current time in ns.
+            destination: the number of the destination.
+            message: the message's id.
+            default_ns: the wait where the destination is not governed.
+            within_ns: the rest of the deduplication window of a message that may have been executed; None:
+                the message may be submitted again at any time.
+
+        Returns:
+            The rejection, or None if the message must fail instead: it may have been executed, and the client
+            would submit it again after its window. This holds for every governed destination, where a
+            message that is submitted again may wait longer than its window, without a link to the attempt
+            that may have been executed.
         """
         tracked = self._tracked.get(destination)
         if tracked is not None and not tracked.is_governed:
@@ -290,7 +300,7 @@
 
     # ---- reports -----------------------------------------------------------------------------------------
     def _report_transition(self, now: int, destination: TrackedDestination) -> None:
-        """Note a change of a destination's state."""
+        """Record a change of a destination's state for the report."""
         tracker = destination.tracker
         state = tracker.state
         if state is destination.reported_state:
--- a/winchspan/overload/held_messages.py
+++ b/winchspan/overload/held_messages.py
@@ -1,17 +1,17 @@
-"""The messages held for one destination, and how many of them are still in time.
+"""The messages held for one destination, and the number of those still in time.
 
-Expiry times are counted in buckets, so that the count stays cheap however many messages are held.
+Expiry times are counted in buckets, so that the cost of the count does not grow with the messages held.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-BUCKET_NS: Final = 100_000_000  # the resolution of the time until which a message is in time
+BUCKET_NS: Final = 100_000_000  # resolution of expiry times
 
 
 class HeldMessages:
-    """The messages held for a destination, each with the time until which it has its full worth."""
+    """The messages held for a destination, each with the time at which it loses its full worth."""
 
     def __init__(self, now: int) -> None:
         self._bucket_by_message: dict[str, int] = {}
@@ -23,7 +23,7 @@
         return len(self._bucket_by_message)
 
     def add(self, now: int, message: str, in_time_until: int) -> None:
-        """Add a message that has its full worth until a time; one that is there already stays as it is."""
+        """Add a message with the time until which it has its full worth; a known message is not changed."""
         if message in self._bucket_by_message:
             return
         bucket = max(in_time_until, 0) // BUCKET_NS
@@ -34,7 +34,7 @@
             self._in_time_count += 1
 
     def remove(self, message: str) -> bool:
-        """Remove a message; return whether it was there."""
+        """Remove a message; return whether it was held."""
         bucket = self._bucket_by_message.pop(message, None)
         if bucket is None:
             return False
@@ -48,12 +48,12 @@
         return True
 
     def count_in_time(self, now: int) -> int:
-        """Return how many messages still have their full worth: they are served before any other."""
+        """Return the number of messages that still have their full worth; they are sent before all others."""
         bucket = now // BUCKET_NS
         if bucket == self._current_bucket:
             return self._in_time_count
         if bucket - self._current_bucket > len(self._counts_by_bucket):
-            # After a long pause the buckets in use are fewer than those that have passed.
+            # After a long pause, iterating over the used buckets is cheaper than over the elapsed ones.
             for expired in [used for used in self._counts_by_bucket if used < bucket]:
                 self._in_time_count -= self._counts_by_bucket.pop(expired)
             self._current_bucket = bucket
--- a/winchspan/overload/outage_tracker.py
+++ b/winchspan/overload/outage_tracker.py
@@ -1,10 +1,13 @@
-"""The state of one destination as one courier alone sees it: calm, outage, recovering, storm.
-
-Calm to outage: so many calls failed in a row, over some time, without a delivery. Outage to recovering: a
-delivery. Recovering to calm: the whole share of the rate has been regained. Any but an outage to storm: the
-share of retries among arrivals is high, or lies between both bounds while much work is held. Storm to
-recovering or calm: the share has been low for some time. Recovering or storm to outage: calls fail once more;
-each time the next recovery begins at a lower rate.
+"""The state of one destination as seen by one courier: calm, outage, recovering or storm.
+
+Transitions:
+    calm to outage: a number of consecutive calls failed over some time, without a delivery.
+    outage to recovering: a delivery.
+    recovering to calm: the full share of the rate has been regained.
+    any state but outage to storm: the share of retries among arrivals is high, or it is between both
+        thresholds while the backlog is long.
+    storm to recovering or calm: the share of retries has been low for some time.
+    recovering or storm to outage: calls fail again; each further recovery begins at a lower rate.
 """
 
 from __future__ import annotations
@@ -15,15 +18,15 @@
 from winchspan.api import Outcome
 from winchspan.overload.settings import OverloadSettings
 
-RECOVERY_STEPS: Final = 8  # deliveries that regain the whole share, where the ramp allows
-FAILURE_DECREASE: Final = 0.7  # a failure during a recovery takes away 30% of what was regained
-REPEATED_OUTAGE_DECREASE: Final = 0.6  # a recovery after a further outage begins at this share of the last,
-MIN_START_SHARE: Final = 0.25  # and at this share of the first at least
-MAX_CONSECUTIVE_OUTAGES: Final = 8  # that are counted
+RECOVERY_STEPS: Final = 8  # deliveries that regain the full share, if the ramp allows it
+FAILURE_DECREASE: Final = 0.7  # a failure during a recovery reduces the level by 30%
+REPEATED_OUTAGE_DECREASE: Final = 0.6  # factor for the initial level after each further outage
+MIN_START_SHARE: Final = 0.25  # least initial level, relative to that of a first outage
+MAX_CONSECUTIVE_OUTAGES: Final = 8  # bound of the count
 
 
 class DestinationState(Enum):
-    """What a destination is going through; the values stand in log lines and metrics."""
+    """The state of a destination; the values are part of log lines and metrics."""
 
     CALM = "calm"
     OUTAGE = "outage"
@@ -35,9 +38,9 @@
     """The state of a destination, its share of retries, and the level of the rate that it has regained.
 
     Attributes:
-        state: the present state.
-        consecutive_outages: how many outages there were without a long calm between them.
-        outage_since: when the latest outage began, in ns.
+        state: the current state.
+        consecutive_outages: number of outages without a long calm period between them.
+        outage_since: begin of the latest outage, in ns.
     """
 
     def __init__(self, now: int, settings: OverloadSettings, start_level: float, warm_up_ns: int) -> None:
@@ -46,8 +49,8 @@
         Args:
             now: the current time in ns.
             settings: the operator's settings.
-            start_level: the share of its rate that a destination can take right after an outage.
-            warm_up_ns: how long it takes until it can take all.
+            start_level: the share of its rate that a destination can process right after an outage.
+            warm_up_ns: the time until it can process its full rate.
         """
         self._settings = settings
         self._start_level = start_level
@@ -58,7 +61,7 @@
         self.outage_since = now
         self._recovering_since: int | None = None  # None: not warming up
         self._level = 1.0
-        self._failure_count = 0  # in a row
+        self._failure_count = 0  # consecutive
         self._first_failure_at = now
         self._first_arrivals = 0.0  # decaying counts
         self._retry_arrivals = 0.0
@@ -67,7 +70,7 @@
 
     # ---- events ------------------------------------------------------------------------------------------
     def record_arrival(self, now: int, *, is_retry: bool) -> None:
-        """Count a message that a client hands in, admitted or not."""
+        """Count a submitted message, admitted or not."""
         self._decay(now)
         if is_retry:
             self._retry_arrivals += 1.0
@@ -75,7 +78,7 @@
             self._first_arrivals += 1.0
 
     def record_outcome(self, now: int, outcome: Outcome, duration_ns: int) -> None:
-        """Record that a call has ended, or is given up."""
+        """Record the outcome of a call."""
         if outcome is Outcome.DELIVERED:
             self._record_delivery(now, now - duration_ns)
         elif outcome is not Outcome.NOT_SENT:
@@ -85,7 +88,7 @@
         self._failure_count = 0
         if self.state is DestinationState.OUTAGE:
             if sent_at < self.outage_since:
-                return  # an answer from before the outage is no sign of a recovery
+                return  # a call sent before the outage does not prove a recovery
             decrease = REPEATED_OUTAGE_DECREASE ** max(0, self.consecutive_outages - 1)
             self._level = max(MIN_START_SHARE, decrease) * self._start_level
             self._recovering_since = now
@@ -107,7 +110,7 @@
             self._begin_outage(now)
 
     def _begin_outage(self, now: int) -> None:
-        # An outage during a recovery, or soon after it, is a further one; after a long calm it is the first.
+        # An outage during a recovery or soon after it is counted as a further one, else as the first.
         is_near = self._recovering_since is not None or now - self._state_since < self._warm_up_ns
         if is_near and self.consecutive_outages:
             self.consecutive_outages = min(MAX_CONSECUTIVE_OUTAGES, self.consecutive_outages + 1)
@@ -119,17 +122,17 @@
         self._enter(now, DestinationState.OUTAGE)
 
     def suspect(self, now: int) -> None:
-        """Let a calm destination begin as one that recovers: a restarted courier has reason to doubt it."""
+        """Move a calm destination to recovering, after a restart with signs of an outage."""
         if self.state is DestinationState.CALM:
             self._level = self._start_level
             self._recovering_since = now
             self._enter(now, DestinationState.RECOVERING)
 
-    # ---- judgement ---------------------------------------------------------------------------------------
+    # ---- evaluation --------------------------------------------------------------------------------------
     def level(self, now: int) -> float:
         """Return the share of the courier's rate that may be used; this may end a recovery.
 
-        It is the smaller of what deliveries have regained and of what the ramp allows by now.
+        It is the minimum of the level that deliveries have regained and the level that the ramp allows now.
         """
         if self._recovering_since is None:
             return self._level if self.state is DestinationState.OUTAGE else 1.0
@@ -153,7 +156,7 @@
 
         Args:
             now: the current time in ns.
-            backlog_ns: how long the messages held take to be sent.
+            backlog_ns: the time that sending the held messages takes.
         """
         self.level(now)
         if self.state is DestinationState.OUTAGE:
@@ -180,12 +183,12 @@
 
     @property
     def is_degraded(self) -> bool:
-        """Whether the destination is anything but calm."""
+        """Whether the state is not calm."""
         return self.state is not DestinationState.CALM
 
     @property
     def regained_level(self) -> float:
-        """The share of the rate that deliveries have regained, whatever the ramp allows."""
+        """The share of the rate that deliveries have regained, without the limit of the ramp."""
         return self._level
 
     @property
@@ -198,7 +201,7 @@
         self._state_since = now
 
     def _decay(self, now: int) -> None:
-        """Let the counts of arrivals halve in each half-life."""
+        """Apply the exponential decay to the counts of arrivals."""
         if now > self._decayed_at:
             factor = 0.5 ** ((now - self._decayed_at) / self._settings.half_life_ns)
             self._first_arrivals *= factor
--- a/winchspan/overload/prometheus_metrics.py
+++ b/winchspan/overload/prometheus_metrics.py
@@ -1,7 +1,7 @@
 """The metrics of the overload control in Prometheus' text format.
 
-It brings an HTTP server and TLS along, 12 MB that a courier which names no file for its metrics does not pay:
-import it where it is used.
+`prometheus_client` loads an HTTP server and TLS, which take 12 MB. Import this module only where it is used,
+so that a courier without a metrics file does not need that memory.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from winchspan.overload.governor import OverloadGovernor
 from winchspan.overload.tracked_destination import TrackedDestination
 
-# The gauges of a destination with their descriptions; each name follows `winchspan_storm_`.
+# Descriptions of the gauges of a destination, by name without the prefix `winchspan_storm_`.
 _GAUGES: Final[Mapping[str, str]] = {
     "trouble": "1 while the destination is not calm",
     "level": "share of the courier's part of the rate that may be used",
@@ -34,13 +34,13 @@
 
 
 class _GovernorCollector(Collector):
-    """Reads the governor when it is asked."""
+    """Collects the metrics from the governor."""
 
     def __init__(self, governor: OverloadGovernor) -> None:
         self._governor = governor
 
     def collect(self) -> list[Metric]:
-        """Return all families, one sample for each destination."""
+        """Return all metric families, with samples for each destination."""
         events = CounterMetricFamily(
             "winchspan_storm_events",
             "What the governor let in, turned away and sent, by destination",
@@ -64,7 +64,7 @@
 
 
 def _gauge_values(destination: TrackedDestination) -> dict[str, float]:
-    """Return the gauges; the level as last judged, since a report must not change the state that it shows."""
+    """Return the gauges; the level is the last regained one, since a report must not change the state."""
     return {
         "trouble": float(destination.tracker.is_degraded),
         "level": destination.tracker.regained_level,
--- a/winchspan/overload/report.py
+++ b/winchspan/overload/report.py
@@ -1,4 +1,4 @@
-"""Reports of the overload control: a log line for each transition, and metrics in a file on request."""
+"""Reports of the overload control: a log line for each state transition, and a metrics file on request."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from winchspan.runtime.clock import ns_to_ms
 from winchspan.runtime.timers import TimerQueue
 
-POLL_INTERVAL_MS: Final = 250.0  # between two checks for transitions
+POLL_INTERVAL_MS: Final = 250.0  # between two checks for new transitions
 
 
 class OverloadReport:
@@ -24,22 +24,22 @@
         """Create a report.
 
         Args:
-            governor: whose transitions and metrics are reported.
+            governor: the governor to report on.
             timers: the courier's timers.
-            path: the file of the metrics; None: they are not written.
+            path: the metrics file; None: no metrics are written.
         """
         self._governor = governor
         self._timers = timers
         self._path = path
-        if path is not None:  # load 12 MB now rather than in the middle of a storm
+        if path is not None:  # loads 12 MB now, rather than during a storm
             importlib.import_module("winchspan.overload.prometheus_metrics")
 
     def set_governor(self, governor: OverloadGovernor) -> None:
-        """Report on another governor from now on."""
+        """Report on another governor."""
         self._governor = governor
 
     def start(self) -> None:
-        """Log transitions again and again."""
+        """Start to log transitions periodically."""
         self._log_transitions()
 
     def _log_transitions(self) -> None:
@@ -48,7 +48,7 @@
         self._timers.call_later(POLL_INTERVAL_MS, self._log_transitions)
 
     def write_metrics(self) -> None:
-        """Replace the operator's file as a whole; a fault is one log line."""
+        """Replace the metrics file atomically; log an error if that fails."""
         if self._path is None:
             return
         try:
@@ -60,7 +60,7 @@
 
     def metrics_text(self) -> bytes:
         """Return the metrics in Prometheus' text format."""
-        from winchspan.overload.prometheus_metrics import metrics_text  # see there
+        from winchspan.overload.prometheus_metrics import metrics_text  # on demand: it takes 12 MB
 
         return metrics_text(self._governor)
 
--- a/winchspan/overload/reservations.py
+++ b/winchspan/overload/reservations.py
@@ -1,4 +1,4 @@
-"""Reservations: which rejected client may come again, and when. Bounded: the oldest is forgotten first."""
+"""Reservations of retry slots for rejected clients; the tables are bounded and drop the oldest first."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class ReservationStatus(Enum):
-    """How a client that comes again stands to its reservation."""
+    """Status of the reservation of a client that retries."""
 
-    NONE = "none"  # it has none that is known
+    NONE = "none"  # no valid reservation
     EARLY = "early"
     DUE = "due"
 
 
 @dataclass(slots=True)
 class Reservation:
-    """What a rejected client was promised; times in ns.
+    """The reservation of a rejected client; times in ns.
 
     Attributes:
-        arrive_at: when the client was asked to come again.
+        arrive_at: when the client was asked to retry.
         slot_at: when its slot is free; later than `arrive_at` if the wait was capped.
-        came_early: whether it came before its time: it stands behind those that did not.
+        came_early: whether it retried too early, and has lost its priority.
     """
 
     arrive_at: int
@@ -35,11 +35,11 @@
 
 
 class KeyBlock(NamedTuple):
-    """Messages of an ordering key that wait for an earlier one with a reservation.
+    """Blocks later messages of an ordering key until an earlier one with a reservation is admitted.
 
     Attributes:
         token: the idempotency key of the earlier message.
-        until: how long they wait, in ns.
+        until: the end of the block, in ns.
     """
 
     token: str
@@ -47,15 +47,15 @@
 
 
 class ReservationTable:
-    """The reservations of all destinations, by idempotency key, and the ordering keys that wait with them."""
+    """The reservations of all destinations by idempotency key, and the ordering keys that they block."""
 
     def __init__(self, max_entries: int, grace_period_ns: int, early_tolerance_ns: int) -> None:
         """Create an empty table.
 
         Args:
-            max_entries: the bound of the reservations, and of the ordering keys.
-            grace_period_ns: how long a slot is kept for a client that does not come.
-            early_tolerance_ns: how much a client may come before its time.
+            max_entries: bound of the reservations, and of the blocked ordering keys.
+            grace_period_ns: how long a reservation stays valid after its time.
+            early_tolerance_ns: how much too early a client may retry.
         """
         self._max_entries = max_entries
         self._grace_period_ns = grace_period_ns
@@ -67,13 +67,13 @@
         return len(self._by_token) + len(self._key_blocks)
 
     def reserve(self, destination: int, token: str, key: int | None, arrive_at: int, slot_at: int) -> None:
-        """Record when a rejected client was asked to come; its ordering key waits with it.
+        """Store the reservation of a rejected client, and block its ordering key.
 
         Args:
             destination: the number of the destination.
-            token: the idempotency key of the message; empty: it has none, and no reservation here.
-            key: the ordering key; None: it has none.
-            arrive_at: when the client was asked to come, in ns.
+            token: the idempotency key of the message; empty: none, and no reservation is stored here.
+            key: the ordering key; None: none.
+            arrive_at: when the client was asked to retry, in ns.
             slot_at: when its slot is free, in ns.
         """
         if token:
@@ -90,37 +90,39 @@
             table.popitem(last=False)
 
     def find(self, destination: int, token: str) -> Reservation | None:
-        """Return the reservation of a client, whether its time has come or not."""
+        """Return the reservation of a client, valid or not; None: none."""
         return self._by_token.get((destination, token)) if token else None
 
     def status(self, now: int, destination: int, token: str) -> ReservationStatus:
-        """Return how a client that comes now stands to its reservation."""
-        known = self.find(destination, token)
-        if known is None:
+        """Return the status of the reservation of a client that retries now."""
+        reservation = self.find(destination, token)
+        if reservation is None:
             return ReservationStatus.NONE
-        if now > known.arrive_at + max(self._grace_period_ns, known.slot_at - known.arrive_at):
+        if now > reservation.arrive_at + max(
+            self._grace_period_ns, reservation.slot_at - reservation.arrive_at
+        ):
             return ReservationStatus.NONE
-        if now < known.arrive_at - self._early_tolerance_ns:
+        if now < reservation.arrive_at - self._early_tolerance_ns:
             return ReservationStatus.EARLY
-        return ReservationStatus.NONE if known.came_early else ReservationStatus.DUE
+        return ReservationStatus.NONE if reservation.came_early else ReservationStatus.DUE
 
     def mark_early(self, destination: int, token: str) -> None:
-        """Record that a client came early: it keeps its time, and loses the right to go first."""
-        if known := self.find(destination, token):
-            known.came_early = True
+        """Record that a client retried too early: it keeps its time and loses its priority."""
+        if reservation := self.find(destination, token):
+            reservation.came_early = True
 
     def release(self, destination: int, token: str, key: int | None) -> None:
-        """Remove the reservation of a client whose message is admitted; its ordering key waits no longer."""
+        """Remove the reservation of an admitted message, and the block of its ordering key."""
         if token:
             self._by_token.pop((destination, token), None)
         if key is not None and key in self._key_blocks and self._key_blocks[key].token == token:
             del self._key_blocks[key]
 
     def key_blocked_until(self, now: int, key: int | None, token: str) -> int:
-        """Return until when a message with an ordering key must not be admitted; 0: it may be.
+        """Return the time until which the ordering key blocks a message; 0: not blocked.
 
-        Guards against a later message of the key that is admitted while an earlier one was rejected and has
-        a reservation.
+        Guards against admitting a later message of the key before an earlier one that was rejected and has a
+        reservation.
         """
         if key is None or key not in self._key_blocks:
             return 0
@@ -132,7 +134,7 @@
 
 
 class AnonymousReservations:
-    """Reservations of clients without an idempotency key: only how many, and for when."""
+    """Reservations of clients without an idempotency key: a sorted queue of times."""
 
     def __init__(self, max_entries: int, grace_period_ns: int, early_tolerance_ns: int) -> None:
         """Create an empty queue; the arguments are those of `ReservationTable`."""
@@ -141,7 +143,7 @@
         self._early_tolerance_ns = early_tolerance_ns
 
     def reserve(self, arrive_at: int) -> None:
-        """Record when one client was asked to come."""
+        """Record the time at which a client was asked to retry."""
         times = self._arrival_times
         if not times or arrive_at >= times[-1]:
             times.append(arrive_at)
@@ -155,7 +157,7 @@
         times.insert(max(0, index), arrive_at)
 
     def claim(self, now: int) -> ReservationStatus:
-        """Give a client that comes again the earliest reservation that is due, if any is."""
+        """Assign the earliest reservation to a client that retries, if it is due; return its status."""
         self._expire(now)
         if not self._arrival_times:
             return ReservationStatus.NONE
@@ -165,7 +167,7 @@
         return ReservationStatus.EARLY
 
     def count(self, now: int) -> int:
-        """Return how many slots are kept for clients still to come."""
+        """Return the number of valid reservations."""
         self._expire(now)
         return len(self._arrival_times)
 
--- a/winchspan/overload/retry_budget.py
+++ b/winchspan/overload/retry_budget.py
@@ -1,7 +1,7 @@
 """A budget for the retries of one destination.
 
-After Finagle's RetryBudget (a share of the first attempts is saved up, and so many a second are always
-allowed) and Envoy's retry budgets (so many may be in flight at most, in proportion to all that is in flight).
+It combines Finagle's RetryBudget (each first attempt earns a fraction of a retry, and a minimum rate is
+always allowed) with Envoy's retry budgets (a limit of retries in flight, in proportion to calls in flight).
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 
 from winchspan.overload.settings import NS_PER_SECOND
 
-IN_FLIGHT_RETRY_SHARE: Final = 0.25  # of the calls in flight that may hold retries
-MIN_IN_FLIGHT_RETRIES: Final = 2  # calls with retries that may be in flight in any case
+IN_FLIGHT_RETRY_SHARE: Final = 0.25  # limit of calls with retries, as a share of the calls in flight
+MIN_IN_FLIGHT_RETRIES: Final = 2  # calls with retries that are always allowed in flight
 
 
 class RetryBudget:
-    """Allows a retry while some are saved up, and not too many are in flight."""
+    """Allows a retry while the balance suffices and not too many retries are in flight."""
 
     def __init__(
         self, now: int, retry_ratio: float, min_retries_per_second: float, max_saved_retries: float
@@ -24,9 +24,9 @@
 
         Args:
             now: the current time in ns.
-            retry_ratio: the part of a retry that each first attempt saves up.
-            min_retries_per_second: retries that each second saves up.
-            max_saved_retries: the most that is saved up.
+            retry_ratio: retries that each first attempt adds to the balance.
+            min_retries_per_second: retries that each second adds to the balance.
+            max_saved_retries: upper bound on the balance.
         """
         self._retry_ratio = retry_ratio
         self._min_retries_per_second = min_retries_per_second
@@ -42,7 +42,7 @@
         self._filled_at = now
 
     def record_call(self, now: int, first_attempt_count: int, retry_count: int) -> None:
-        """Count a call that has been sent."""
+        """Record a call that is sent, with its first attempts and retries."""
         self._fill(now)
         self._calls_in_flight += 1
         self._retry_calls_in_flight += retry_count > 0
@@ -50,18 +50,18 @@
         self._saved = max(0.0, saved - retry_count)
 
     def record_settled(self, retry_count: int) -> None:
-        """Count a call that is no longer in flight."""
+        """Record that a call is no longer in flight."""
         self._calls_in_flight -= 1
         self._retry_calls_in_flight -= retry_count > 0
 
     def ready_at(self, now: int) -> int:
-        """Return when a retry may be sent; at or before `now`: at once."""
+        """Return when a retry may be sent; at or before `now`: immediately."""
         self._fill(now)
         max_in_flight = max(MIN_IN_FLIGHT_RETRIES, IN_FLIGHT_RETRY_SHARE * self._calls_in_flight)
         if self._retry_calls_in_flight >= max_in_flight:
-            return now + NS_PER_SECOND  # a call that settles allows the next one; that is an event of its own
+            return now + NS_PER_SECOND  # checked again when a call settles
         if self._saved >= 1.0:
             return now
         if self._min_retries_per_second <= 0.0:
-            return now + NS_PER_SECOND  # only first attempts save up more; check again later
+            return now + NS_PER_SECOND  # only first attempts add to the balance
         return now + int((1.0 - self._saved) / self._min_retries_per_second * NS_PER_SECOND) + 1
--- a/winchspan/overload/retry_slots.py
+++ b/winchspan/overload/retry_slots.py
@@ -1,4 +1,4 @@
-"""When rejected clients come again: each gets a slot of its destination's virtual queue."""
+"""Assigns retry times to rejected clients: each gets a slot in the virtual queue of its destination."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from winchspan.overload.settings import OverloadSettings
 from winchspan.overload.tracked_destination import TrackedDestination
 
-MIN_RETRY_AFTER_NS: Final = 50_000_000  # no client is asked to come sooner: the answer takes its time, too
-GOLDEN_RATIO: Final = 0.618_033_988_75  # steps of this size fill an interval evenly, however many there are
+MIN_RETRY_AFTER_NS: Final = 50_000_000  # least wait of a client, since the reply takes time too
+GOLDEN_RATIO: Final = 0.618_033_988_75  # steps of this size fill an interval evenly
 _SEED_MODULUS: Final = 997
-# What a client is told of a destination, by its state.
+# The reason in rejections, by the state of the destination.
 REJECTION_REASONS: Final[Mapping[DestinationState, str]] = {
     DestinationState.OUTAGE: "does not answer",
     DestinationState.RECOVERING: "is returning",
@@ -28,7 +28,7 @@
     """A slot of the virtual queue; times in ns.
 
     Attributes:
-        arrive_at: when its client should come again.
+        arrive_at: when the client should retry.
         slot_at: when the slot is free; later than `arrive_at` if the wait was capped.
     """
 
@@ -47,27 +47,30 @@
         Args:
             settings: the platform's settings.
             overload_settings: the operator's settings.
-            reservations: records which client has which slot.
+            reservations: stores the slots of the clients.
         """
         self._settings = settings
         self._overload_settings = overload_settings
         self._reservations = reservations
-        # Couriers that begin at the same moment are set apart by their numbers.
+        # The courier's number offsets the slots of couriers that start at the same time.
         sender_count = overload_settings.sender_count or settings.senders
         seed_offset = (overload_settings.seed % _SEED_MODULUS) / _SEED_MODULUS
         self._spread = (settings.me / max(1, sender_count) + seed_offset) % 1.0
 
     def reconfigure(self, settings: api.Settings) -> None:
-        """Use other settings from now on."""
+        """Use other settings for later rejections."""
         self._settings = settings
 
     def reject(self, now: int, destination: TrackedDestination, request: AdmissionRequest) -> Rejection:
         """Reject a message, and reserve a slot for its client."""
-        known = self._reservations.find(destination.id, request.idempotency_key)
-        if known is not None and known.arrive_at > now + self._overload_settings.early_tolerance_ns:
-            slot = RetrySlot(known.arrive_at, known.slot_at)  # too early: the same time again
-        elif known is not None and known.slot_at > now:  # its wait was capped: it keeps its slot
-            slot = RetrySlot(self.cap(now, known.slot_at), known.slot_at)
+        reservation = self._reservations.find(destination.id, request.idempotency_key)
+        if (
+            reservation is not None
+            and reservation.arrive_at > now + self._overload_settings.early_tolerance_ns
+        ):
+            slot = RetrySlot(reservation.arrive_at, reservation.slot_at)  # too early: keeps its time
+        elif reservation is not None and reservation.slot_at > now:  # its wait was capped: keeps its slot
+            slot = RetrySlot(self.cap(now, reservation.slot_at), reservation.slot_at)
         else:
             slot = self.next_slot(now, destination)
         self._reservations.reserve(
@@ -80,7 +83,7 @@
     def reject_until(
         self, now: int, destination: TrackedDestination, request: AdmissionRequest, key_blocked_until: int
     ) -> Rejection:
-        """Reject a message until an earlier one of its ordering key has come."""
+        """Reject a message until an earlier one of its ordering key has been admitted."""
         arrive_at = self.cap(now, key_blocked_until)
         self._reservations.reserve(
             destination.id, request.idempotency_key, None, arrive_at, key_blocked_until
@@ -91,7 +94,7 @@
     def next_slot(self, now: int, destination: TrackedDestination) -> RetrySlot:
         """Take the next free slot of the virtual queue.
 
-        A GCRA: slots stand one message's time apart, after what is held and reserved already.
+        This is a GCRA: slots are one message's send time apart, after held messages and earlier reservations.
         """
         message_count = destination.held.count_in_time(now) + 1
         remaining_outage_ns = destination.remaining_outage_ns(now, self._settings)
@@ -102,23 +105,23 @@
         return RetrySlot(self.cap(now, slot_at), slot_at)
 
     def cap(self, now: int, slot_at: int) -> int:
-        """Return when the client of a slot comes: the settings bound the wait, and then it is spread."""
+        """Return when the client of a slot should retry; too long a wait is spread below the limit."""
         max_wait_ns = self._settings.max_retry_after_ns
         if slot_at - now <= max_wait_ns:
             return max(slot_at, now + min(MIN_RETRY_AFTER_NS, max_wait_ns))
         return self.spread(now, max_wait_ns)
 
     def spread(self, now: int, max_wait_ns: int) -> int:
-        """Return a time in the second half of a wait, so that clients rejected together come apart."""
+        """Return a time in the second half of a wait, to spread clients that are rejected together."""
         return now + int(max_wait_ns * (0.5 + 0.5 * self._next_fraction()))
 
     def _next_fraction(self) -> float:
-        """Return a part of an interval; those that follow one another fill it evenly."""
+        """Return a fraction of an interval; successive fractions fill it evenly."""
         self._spread = (self._spread + GOLDEN_RATIO) % 1.0
         return self._spread
 
 
 def rejection(now: int, destination: TrackedDestination, arrive_at: int) -> Rejection:
-    """Return a rejection for which the state of the destination is the reason."""
+    """Return a rejection whose reason is the state of the destination."""
     reason = REJECTION_REASONS[destination.tracker.state]
     return Rejection(arrive_at - now, f"partner {destination.id} {reason}")
--- a/winchspan/overload/settings.py
+++ b/winchspan/overload/settings.py
@@ -10,36 +10,36 @@
 
 @dataclass(frozen=True, slots=True)
 class OverloadSettings:
-    """The operator's part of the settings; the platform's are in `winchspan.api.Settings`.
+    """The operator's settings; the platform's settings are in `winchspan.api.Settings`.
 
     Rates are in calls a second, shares between 0 and 1.
 
     Attributes:
-        max_destinations: how many destinations are tracked; a sketch counts the arrivals of all others, and
-            they are not governed.
-        max_reservations: bound of the reservations, and of the ordering keys that wait with them.
+        max_destinations: the most tracked destinations; others are not governed, and a sketch counts their
+            arrivals.
+        max_reservations: bound of the reservations, and of the ordering keys that they block.
         rate_share: the share of the listed rate that all couriers together use.
-        sender_count: the couriers that use it; 0: as the platform's settings say.
-        sender_shares: the share of each courier, by its number, where traffic is uneven; empty: equal ones.
-        min_governed_rate: a destination of which the courier's share is below this is only watched.
-        limits_when_calm: whether the listed rate is kept to in calm times, too.
-        outage_failure_count: calls that failed in a row, and
-        outage_after_ns: the time over which they did, without a delivery, that make an outage.
-        trial_interval_ns: the time between two calls during an outage.
+        sender_count: number of couriers that share the rate; 0: as in the platform's settings.
+        sender_shares: the share of each courier by number, for uneven traffic; empty: equal shares.
+        min_governed_rate: least share of this courier, in calls a second, to govern a destination.
+        limits_when_calm: whether calls are limited to the listed rate in the calm state, too.
+        outage_failure_count: consecutive failed calls that begin an outage, if they last `outage_after_ns`.
+        outage_after_ns: least time of consecutive failures without a delivery before an outage begins.
+        trial_interval_ns: time between two calls during an outage.
         storm_retry_share: the share of retries among arrivals at which a storm begins.
-        calm_retry_share: the share at or below which it is over, once it has been so
-        calm_after_ns: for this time.
-        storm_min_retries: how many retries, with old ones faded, a storm has at least.
-        storm_backlog_ns: the work held from which a share above `calm_retry_share` is a storm.
-        ramp_factor: the rate on a recovery, against what a destination that warms up can do at the least.
-        half_life_ns: the time in which the counts of arrivals halve.
-        capacity_share: the share of the held messages that one degraded destination may have.
-        grace_period_ns: how long a slot is kept for a client that does not come.
-        early_tolerance_ns: how much a client may come before its time: clocks differ.
-        retry_ratio: retries for each first attempt.
-        min_retries_per_second: retries that are always allowed.
-        max_saved_retries: retries that can be saved up.
-        seed: of the numbers that spread reservations.
+        calm_retry_share: the share of retries at or below which a storm ends after `calm_after_ns`.
+        calm_after_ns: time for which the share of retries must be low before a storm ends.
+        storm_min_retries: least decayed count of retries at which a storm begins.
+        storm_backlog_ns: backlog at which a share of retries above `calm_retry_share` begins a storm.
+        ramp_factor: rate limit during a recovery, as a multiple of the least capacity while warming up.
+        half_life_ns: half-life of the counts of arrivals.
+        capacity_share: the share of the held messages that one degraded destination may use.
+        grace_period_ns: how long a reservation stays valid after its time.
+        early_tolerance_ns: how much too early a client may retry, since clocks differ.
+        retry_ratio: retries allowed for each first attempt.
+        min_retries_per_second: rate of retries that is always allowed.
+        max_saved_retries: the most unused retries that are saved up.
+        seed: seed of the sequence that spreads reservations.
     """
 
     max_destinations: int = 256
--- a/winchspan/overload/setup.py
+++ b/winchspan/overload/setup.py
@@ -1,4 +1,4 @@
-"""Builds the overload control from the section `storms` of the operator's file."""
+"""Creates the overload control from the section `storms` of the operator's file."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 MIN_SKETCH_WIDTH: Final = 256
 SKETCH_WIDTH_PER_DESTINATION: Final = 4
 
-# The operator's keys by the fields of the settings, and those whose values are in seconds.
+# The operator's keys by field of the settings; the values of the second table are in seconds.
 _KEYS: Final[Mapping[str, str]] = {
     "max_destinations": "destinations",
     "max_reservations": "keys",
@@ -48,11 +48,11 @@
 
 
 def overload_settings(values: Mapping[str, Any], seed: int = 0) -> OverloadSettings:
-    """Return the section `storms` as settings.
+    """Return the settings of the section `storms`.
 
     Args:
         values: the values of all keys of the section.
-        seed: of the numbers that spread reservations.
+        seed: seed of the sequence that spreads reservations.
     """
     plain: dict[str, Any] = {name: values[key] for name, key in _KEYS.items()}
     times: dict[str, Any] = {name: _seconds_to_ns(values[key]) for name, key in _TIME_KEYS.items()}
@@ -62,12 +62,12 @@
 def create_governor(
     values: Mapping[str, Any], settings: api.Settings, seed: int, now: int
 ) -> OverloadGovernor:
-    """Return the overload control that the section `storms` asks for.
+    """Return the overload control of the section `storms`.
 
     Args:
         values: the values of all keys of the section.
         settings: the platform's settings.
-        seed: of the numbers that spread reservations.
+        seed: seed of the sequence that spreads reservations.
         now: the current time on the scheduler's clock, in ns.
     """
     own_settings = overload_settings(values, seed)
--- a/winchspan/overload/tracked_destination.py
+++ b/winchspan/overload/tracked_destination.py
@@ -1,4 +1,4 @@
-"""All that the overload control keeps for one destination, and how long its work takes to be sent."""
+"""The state of the overload control for one destination, and estimates of its send times."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class OverloadEvent(StrEnum):
-    """What is counted for a destination; the values stand in metrics."""
+    """Counted events of a destination; the values are part of metrics."""
 
     ADMITTED = "admitted"
     ADMITTED_RESERVED = "kept"
@@ -44,17 +44,17 @@
 
 @dataclass(frozen=True, slots=True)
 class StateTransition:
-    """A change of a destination's state, for the people on call.
+    """A state change of a destination, for the operators.
 
     Attributes:
-        at_ns: when, on the scheduler's clock.
+        at_ns: time of the change on the scheduler's clock.
         destination: the number of the destination.
-        before: its state before.
-        state: its state now.
+        before: the previous state.
+        state: the new state.
         retry_share: the share of retries among its arrivals.
         level: the share of the courier's rate that may be used.
-        held_count: messages held for it.
-        consecutive_outages: outages in a row.
+        held_count: number of messages held for it.
+        consecutive_outages: number of outages without a long calm period between them.
     """
 
     at_ns: int
@@ -72,20 +72,20 @@
     """The state of one destination.
 
     Attributes:
-        id: its number.
-        tracker: its outages, storms and recoveries.
-        rate: the courier's share of its listed rate.
-        held: the messages held for it.
-        retry_budget: how many retries it may get while it is degraded.
-        anonymous_reservations: of clients without an idempotency key.
-        reported_state: the state that was last reported.
-        messages_per_call: a smoothed mean.
-        next_slot_at: the next slot of the virtual queue, as the theoretical arrival time of a GCRA; in ns.
-        is_governed: False: only watched, since the courier's share of its rate is too small to keep to.
-        paused_until: the end of the wait that it asked for, in ns.
-        evaluate_at: when the storm is evaluated next, in ns.
-        recent_arrivals: a halving count, by which destinations compete for being tracked.
-        counts: events since it is tracked.
+        id: the number of the destination.
+        tracker: tracks outages, storms and recoveries.
+        rate: the courier's share of the listed rate.
+        held: the messages held for the destination.
+        retry_budget: limits retries while the destination is degraded.
+        anonymous_reservations: reservations of clients without an idempotency key.
+        reported_state: the last reported state.
+        messages_per_call: a moving mean.
+        next_slot_at: the next slot of the virtual queue, the theoretical arrival time of a GCRA; in ns.
+        is_governed: whether it is controlled; False: only observed, as the courier's share is too small.
+        paused_until: the end of the backoff that the destination asked for, in ns.
+        evaluate_at: time of the next storm evaluation, in ns.
+        recent_arrivals: decaying count of arrivals, by which the tracked destinations are selected.
+        counts: number of events since tracking began, by event.
     """
 
     id: int
@@ -104,11 +104,11 @@
     counts: dict[str, int] = field(default_factory=dict)
 
     def count(self, event: OverloadEvent, by: int = 1) -> None:
-        """Count an event."""
+        """Add to the count of an event."""
         self.counts[event] = self.counts.get(event, 0) + by
 
     def drain_ns(self, now: int, message_count: float, settings: api.Settings) -> int:
-        """Return how long so many messages take to be sent, at a rate that rises during a recovery."""
+        """Return the time that sending the messages takes, at a rate that rises during a recovery."""
         full_rate = self.rate.mean_rate * self.messages_per_call  # messages a second
         if full_rate <= 0.0:
             return 0
@@ -122,10 +122,10 @@
         return _ramp_drain_ns(full_rate_seconds, start_level, settings)
 
     def remaining_outage_ns(self, now: int, settings: api.Settings) -> int:
-        """Return how long it may still be before the destination takes anything.
+        """Return the expected time until the destination accepts calls again.
 
-        The wait that it asked for; else, of an outage, as long again as it has lasted, which is the median of
-        what is left where nothing is known, up to half the time it will warm up.
+        This is the rest of the backoff that it asked for. Without one, an outage is expected to last as long
+        again as it has lasted, the median without further knowledge, up to half the warm-up time.
         """
         remaining_ns = max(0, self.paused_until - now)
         if self.tracker.state is DestinationState.OUTAGE and not remaining_ns:
@@ -133,24 +133,24 @@
         return remaining_ns
 
     def slot_interval_ns(self, now: int) -> int:
-        """Return the time between two slots of the virtual queue: that of one message."""
+        """Return the interval of the virtual queue's slots, the send time of one message."""
         level = self.tracker.level(now) if self.tracker.is_warming_up else 1.0
         rate = self.rate.rate_at(level) * self.messages_per_call
         return int(NS_PER_SECOND / rate) if rate > 0.0 else 0
 
 
 def _ramp_drain_ns(full_rate_seconds: float, start_level: float, settings: api.Settings) -> int:
-    """Return how long work takes at a level that rises linearly until it is 1.
+    """Return the time that work takes at a level that rises linearly to 1.
 
-    The level a grows by (1 - a) / ramp a second; its integral is what has been sent.
+    The level a grows by (1 - a) / ramp a second; its integral is the work that has been sent.
 
     Args:
-        full_rate_seconds: how long the work takes at the full rate.
-        start_level: the level at the beginning.
-        settings: the platform's settings; a whole ramp rises from `start_capacity` to 1 in `cold_ns`.
+        full_rate_seconds: the time that the work takes at the full rate.
+        start_level: the initial level.
+        settings: the platform's settings; a full ramp rises from `start_capacity` to 1 in `cold_ns`.
     """
-    whole_ramp = 1.0 - settings.start_capacity or 1.0
-    ramp_seconds = settings.cold_ns / NS_PER_SECOND * (1.0 - start_level) / whole_ramp
+    full_ramp = 1.0 - settings.start_capacity or 1.0
+    ramp_seconds = settings.cold_ns / NS_PER_SECOND * (1.0 - start_level) / full_ramp
     slope = (1.0 - start_level) / ramp_seconds if ramp_seconds > 0 else 0.0
     sent_in_ramp = ramp_seconds * (1.0 + start_level) / 2  # in seconds at the full rate
     if slope <= 0.0 or full_rate_seconds >= sent_in_ramp:
--- a/winchspan/replication/__init__.py
+++ b/winchspan/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Journal replication as decisions: streams, replica sets, replica placement, takeover and claims."""
+"""State machines of journal replication: streams, replica sets, placement, takeover and claims."""
--- a/winchspan/replication/claims.py
+++ b/winchspan/replication/claims.py
@@ -1,14 +1,15 @@
 """Claims: locks on the ordering keys and idempotency tokens of a silent courier's messages.
 
-While a courier is silent, others do not know the keys of its open messages. A node that holds a replica of
-its journal therefore *claims* them to all: the message's id and its lock keys. A message with one of these
-lock keys that is accepted anywhere meanwhile waits, in the order of acceptance, until the claimed one is
-complete. The owner of the journal after that (its successor, or the restarted courier) claims again under its
-own, later epoch, and announces each completion with the time of the first attempt that may have run. A
-message that waited is then dispatched only as its class allows a repeat.
-
-Bounds: a claim expires with its message's deadline, a table holds `MAX_CLAIMS` claims, and a message that
-waits keeps its own deadline.
+While a courier is silent, other couriers do not know the keys of its open messages. A node that holds a
+replica of its journal therefore announces a *claim* for each open message to all nodes: the message's id and
+its lock keys. A message with one of these lock keys that another courier accepts meanwhile waits, in the
+order of acceptance, until the claimed message is completed. The next owner of the journal (the successor, or
+the restarted courier) claims again under its own, later epoch, and announces each completion with the time of
+the first attempt that may have been executed. A message that waited is then dispatched only as its class
+allows a repeated execution.
+
+Bounds: a claim expires with its message's deadline, a table holds `MAX_CLAIMS` claims, and a waiting message
+keeps its own deadline.
 """
 
 from __future__ import annotations
@@ -19,24 +20,23 @@
 from hashlib import blake2b
 from typing import Final, NamedTuple
 
-MAX_CLAIMS: Final = 20_000  # far more than a fleet's couriers hold; further ones are dropped
-MAX_REMEMBERED_ATTEMPTS: Final = 4_096  # tokens whose first attempt that may have run is remembered
+MAX_CLAIMS: Final = 20_000  # far more than the open messages of a cluster; further claims are dropped
+MAX_REMEMBERED_ATTEMPTS: Final = 4_096  # tokens with a stored first attempt; the oldest is evicted
 EXECUTION_RETENTION_MS: Final = 60_000.0  # six times the longest idempotency window of a partner
 ORDERING_KEY_PREFIX: Final = b"k"  # first byte of a lock key for per-key ordering
 TOKEN_PREFIX: Final = b"t"  # first byte of a lock key for an idempotency token
-EXPIRY_MARGIN_MS: Final = (
-    300.0  # by then a message past its deadline has its notification (PROTOCOL, the rules)
-)
-MAX_REMAINING_MS: Final = 1e9
+# After the deadline of a claimed message: its notification is sent by then (PROTOCOL, the rules).
+EXPIRY_MARGIN_MS: Final = 300.0
+MAX_REMAINING_MS: Final = 1e9  # limit of the time to the deadline that another courier reports
 
 
 def lock_keys_of(class_name: str, ordering_key: int | None, token: str) -> tuple[bytes, ...]:
-    """Return what a message shares with those that it must neither overtake nor duplicate.
+    """Return the lock keys of a message: messages that share one must not be reordered or duplicated.
 
     Args:
-        class_name: the message's class, as the settings name it.
-        ordering_key: the message's key if its class is ordered, else None.
-        token: its idempotency key if its class is not idempotent as such, else empty.
+        class_name: name of the message's class in the settings.
+        ordering_key: the message's ordering key if its class is ordered, else None.
+        token: the message's idempotency token if its class is not idempotent, else empty.
     """
     lock_keys = []
     if ordering_key is not None:
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EarlierAttempt:
-    """When a message may first have been executed, in ms before now, and in which zone."""
+    """Age in ms and zone of the first attempt that may have executed a message."""
 
     age_ms: float
     zone: str = ""
@@ -84,20 +84,20 @@
 
 @dataclass(slots=True)
 class _Waiter:
-    """A message of this courier that waits."""
+    """A message of this courier that waits for the end of a claim."""
 
     number: int
     lock_keys: tuple[bytes, ...]
-    taken_over_from: str  # owner of the journal that it came with; empty: none
+    taken_over_from: str  # owner of the journal that it was taken over with; empty if it was not taken over
 
 
 class ClaimTable:
-    """All claims that one courier knows of, and its own messages that wait for them."""
+    """All claims known to one courier, and its own messages that wait for them."""
 
     def __init__(self) -> None:
         self._journals: dict[str, _JournalClaims] = {}  # by owner
-        self._owners_by_lock_key: dict[bytes, Counter[str]] = {}  # with the number of their claims
-        self._first_attempts: dict[bytes, _AttemptRecord] = {}  # that may have run, by a token's lock key
+        self._owners_by_lock_key: dict[bytes, Counter[str]] = {}  # counts claims by owner
+        self._first_attempts: dict[bytes, _AttemptRecord] = {}  # by lock key of a token
         self._waiters: dict[int, _Waiter] = {}  # in the order of acceptance
 
     def __len__(self) -> int:
@@ -105,12 +105,12 @@
 
     @property
     def waiting_count(self) -> int:
-        """Number of this courier's messages that wait."""
+        """Number of this courier's waiting messages."""
         return len(self._waiters)
 
     # ---- claims ------------------------------------------------------------------------------------------
     def add_claims(self, now: float, owner: str, epoch: int, claims: Iterable[Claim]) -> None:
-        """Add claims of a journal's messages; the first of a later epoch replace all earlier ones."""
+        """Add claims of a journal's messages; claims of a later epoch replace those of earlier epochs."""
         journal = self._journals.get(owner)
         if journal is not None and epoch < journal.epoch:
             return
@@ -134,11 +134,11 @@
     def complete(
         self, now: float, owner: str, epoch: int, message_id: str, attempt: EarlierAttempt | None
     ) -> None:
-        """Remove the claim of a message that is complete, and note whether it may have been executed."""
+        """Remove the claim of a completed message, and record the attempt that may have executed it."""
         journal = self._journals.get(owner)
         if journal is not None and epoch < journal.epoch:
             return
-        for other in list(self._journals):  # it may have been taken over more than once
+        for other in list(self._journals):  # a message may have been taken over more than once
             for lock_key in self._remove_claim(other, message_id):
                 if attempt is not None:
                     self.record_attempt(now, lock_key, attempt)
@@ -146,7 +146,7 @@
                 del self._journals[other]
 
     def record_attempt(self, now: float, lock_key: bytes, attempt: EarlierAttempt) -> None:
-        """Note that a message with a token may have been executed; lock keys of other kinds are ignored."""
+        """Record an attempt that may have executed a message with a token; other lock keys are ignored."""
         if lock_key[:1] != TOKEN_PREFIX:
             return
         found = _AttemptRecord(now - max(0.0, attempt.age_ms), attempt.zone)
@@ -155,13 +155,13 @@
             del self._first_attempts[next(iter(self._first_attempts))]
 
     def release(self, owner: str, epoch: int) -> None:
-        """Remove others' claims for a journal whose owner is back under the epoch that it had."""
+        """Remove the claims made by others for a journal whose owner is alive under the same epoch."""
         journal = self._journals.get(owner)
         if journal is not None and journal.epoch <= epoch:
             self._remove_journal(owner)
 
     def expire(self, now: float) -> None:
-        """Remove claims and attempts whose time is over."""
+        """Remove expired claims and attempts."""
         for owner, journal in list(self._journals.items()):
             expired = [id_ for id_, message in journal.messages.items() if message.expires_at_ms <= now]
             for message_id in expired:
@@ -176,7 +176,7 @@
         }
 
     def _remove_claim(self, owner: str, message_id: str) -> tuple[bytes, ...]:
-        """Remove a claim if there is one, and return its lock keys."""
+        """Remove a claim if it exists, and return its lock keys."""
         message = self._journals[owner].messages.pop(message_id, None)
         if message is None:
             return ()
@@ -199,13 +199,13 @@
         """Queue a message that shares a lock key with a claim or with a queued message.
 
         Args:
-            number: the message's number, which rises with each message.
-            lock_keys: its own, from `lock_keys_of`.
-            taken_over_from: the owner of the journal that the message came with. Of two journals that claim
-                the same lock key the one with the lesser name goes first, so that they do not deadlock.
+            number: number of the message, which increases with each message.
+            lock_keys: lock keys of the message, from `lock_keys_of`.
+            taken_over_from: owner of the journal that the message was taken over with. Of two journals that
+                claim the same lock key, the owner whose name sorts first goes first, which avoids a deadlock.
 
         Returns:
-            Whether the message has to wait; `pop_unblocked` then returns it once it need not any more.
+            Whether the message has to wait; `pop_unblocked` returns it once it is not blocked any more.
         """
         if not lock_keys:
             return False
@@ -220,13 +220,13 @@
         return True
 
     def pop_unblocked(self) -> list[int]:
-        """Remove and return the messages that need not wait any more, in the order of acceptance."""
+        """Remove and return the messages that are not blocked any more, in the order of acceptance."""
         unblocked = []
         blocked_by_taken_over: set[bytes] = set()
         blocked_by_own: set[bytes] = set()
         for waiter in self._waiters.values():
             own_keys = set(waiter.lock_keys)
-            # A message that was taken over was accepted earlier, elsewhere: it waits for no new one.
+            # A message that was taken over was accepted first: this courier's own messages do not block it.
             blocked = (
                 blocked_by_taken_over if waiter.taken_over_from else blocked_by_taken_over | blocked_by_own
             )
@@ -241,11 +241,11 @@
         return unblocked
 
     def cancel(self, number: int) -> None:
-        """Remove a message that waits, since it is complete."""
+        """Remove a waiting message, since it is complete."""
         self._waiters.pop(number, None)
 
     def earlier_attempt(self, now: float, lock_keys: tuple[bytes, ...]) -> EarlierAttempt | None:
-        """Return when a message with the same token may first have been executed; None if none is known."""
+        """Return the first attempt that may have executed a message with the same token; None if unknown."""
         attempts = [
             self._first_attempts[lock_key] for lock_key in lock_keys if lock_key in self._first_attempts
         ]
--- a/winchspan/replication/messages.py
+++ b/winchspan/replication/messages.py
@@ -1,8 +1,8 @@
 """Messages between the owner of a journal and the nodes that hold its replicas.
 
-They travel as MessagePack maps whose keys are the names of the fields, so these names are part of the
-protocol and stay as they are: `first` is an index, `items` are encoded records, `upto` is the index of the
-last record that is included, and `piece` is the number of a chunk. A mapping to other names would need
+The messages are encoded as MessagePack maps with the field names as keys. The field names are therefore part
+of the protocol and must not change: `first` is an index, `items` are encoded records, `upto` is the index of
+the last included record, and `piece` is the number of a chunk. Mapping them to other names would need
 msgspec, which this layer does not import (`tests/test_layers.py`).
 """
 
@@ -15,12 +15,12 @@
 class ReplicateRecords:
     """Consecutive records of an owner's journal, as encoded in its file (Raft's AppendEntries).
 
-    Without records it asks a replica whether it still has everything before `first`.
+    A message without records queries whether a replica still has all records before `first`.
 
     Attributes:
-        owner: node whose journal it is.
-        epoch: under which the owner holds the lease on its journal.
-        first: index of the first record; the first of an epoch is 1.
+        owner: node whose journal is replicated.
+        epoch: epoch of the owner's lease on its journal.
+        first: index of the first record in the message; the first index of an epoch is 1.
         items: encoded records, in order.
     """
 
@@ -35,8 +35,8 @@
     """One chunk of a snapshot of the open messages, which replaces a replica (Raft's InstallSnapshot).
 
     Attributes:
-        owner: node whose journal it is.
-        epoch: under which the owner holds the lease on its journal.
+        owner: node whose journal is replicated.
+        epoch: epoch of the owner's lease on its journal.
         upto: index of the last record that the snapshot includes.
         piece: position of the chunk in the snapshot, from 0.
         last: whether the snapshot is complete with this chunk.
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaBehind:
-    """A replica rejects records because of a gap after index `upto`; -1: it has no record of the epoch."""
+    """A replica rejects records because of a gap after index `upto`; -1 if it has no record of the epoch."""
 
     owner: str
     epoch: int
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochSuperseded:
-    """A replica has promised a later epoch: the receiver no longer owns the journal."""
+    """A replica has promised a later epoch, so that the receiver no longer owns the journal."""
 
     owner: str
     epoch: int
--- a/winchspan/replication/placement.py
+++ b/winchspan/replication/placement.py
@@ -1,4 +1,4 @@
-"""Which nodes hold the replicas of a journal, and which one takes it over when its owner is lost."""
+"""Choice of the nodes that hold a journal's replicas, and of the node that takes over a journal."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from winchspan.leases.lease_table import Lease, LeaseTable, ReplicaPlacement
 from winchspan.replication.replica_set import ReplicaProgress, most_complete
 
-TAKEOVER_GRACE_MS: Final = 2_500.0  # without the owner, before failover: a kill and a restart take less
+TAKEOVER_GRACE_MS: Final = 2_500.0  # absence of the owner before a takeover: a restart takes less
 PROGRESS_QUERY_INTERVAL_MS: Final = 250.0  # between two queries for the replicas' progress
 
 
@@ -24,14 +24,15 @@
     """Choose the nodes that are to hold the replicas of a journal, by rendezvous hashing.
 
     Args:
-        owner: node whose journal it is.
+        owner: node whose journal is replicated.
         candidates: nodes that may be chosen.
-        count: wanted number of replicas; there are fewer if the candidates do not suffice.
-        locations: zone and region by node, as far as they are known.
-        current: nodes that hold a replica already, preferred so that no data moves needlessly.
+        count: required number of replicas; fewer are chosen if there are too few candidates.
+        locations: known zones and regions by node.
+        current: nodes that already hold a replica; they are preferred, to avoid copying data.
 
     Returns:
-        The names in order: current replicas first in the choice, then nodes of other zones than the owner's.
+        The sorted names of the chosen nodes. Current replicas are chosen first, then nodes of other zones
+        than the owner's.
     """
     owner_zone = locations.get(owner, ("", ""))[0]
     current_replicas = set(current)
@@ -46,7 +47,7 @@
 
 
 class TakeoverPlanner:
-    """The consensus leader's decisions on who is to own each journal."""
+    """The consensus leader's decisions on the owner of each journal."""
 
     def __init__(self) -> None:
         self._missing_since_ms: dict[str, float] = {}
@@ -55,16 +56,16 @@
         self._shutting_down: dict[str, int] = {}  # incarnations of owners in graceful shutdown
 
     def record_shutdown(self, owner: str, incarnation: int) -> None:
-        """Note that an owner's process hands its journal over: there is no grace period for it."""
+        """Record that an owner's process hands its journal over, so that no grace period applies."""
         self._shutting_down[owner] = incarnation
 
     def record_progress(self, owner: str, node: str, progress: ReplicaProgress | None) -> None:
-        """Note a node's answer to a progress query; None: it has no replica."""
+        """Record a node's reply to a progress query; None if it has no replica."""
         if owner in self._next_query_at_ms:
             self._progress.setdefault(owner, {})[node] = progress
 
     def owners_to_query(self, now: float) -> list[str]:
-        """Return the owners about whose replicas all nodes are to be queried now."""
+        """Return the owners for whose replicas a progress query to all nodes is due."""
         due = [owner for owner, due_at in self._next_query_at_ms.items() if now >= due_at]
         for owner in due:
             self._next_query_at_ms[owner] = now + PROGRESS_QUERY_INTERVAL_MS
@@ -78,14 +79,14 @@
         lease_table: LeaseTable,
         journal_epochs: Mapping[str, tuple[int, int]],
     ) -> str:
-        """Return the node that is to hold the lease on a journal; empty: the lease stays as it is.
+        """Return the node that is to hold the lease on a journal; empty to leave the lease as it is.
 
         Args:
-            now: the clock's reading in ms.
-            role: the leased role of that journal.
-            alive: incarnations of the nodes that are alive, by name.
-            lease_table: the agreed leases.
-            journal_epochs: by node, its incarnation and the epoch in its own journal; 0: it knows none.
+            now: clock reading, ms.
+            role: leased role of the journal.
+            alive: incarnations of the live nodes, by name.
+            lease_table: committed leases.
+            journal_epochs: incarnation of each node and the epoch in its own journal, 0 if that has none.
         """
         owner = role.removeprefix(JOURNAL_ROLE_PREFIX)
         lease = lease_table.leases.get(role)
@@ -98,10 +99,10 @@
             self._reset(owner)
             return owner
         if lease is None:
-            return ""  # it never held the lease: there is nothing to take over
+            return ""  # the owner never held the lease: there is nothing to take over
         if lease.holder != owner and lease.holder in alive:
             self._reset(owner)
-            return lease.holder  # its takeover is under way or complete
+            return lease.holder  # its takeover is in progress or complete
         if _is_takeover_complete(owner, lease, lease_table):
             return ""
         missing_since_ms = self._missing_since_ms.setdefault(owner, now)
@@ -113,7 +114,7 @@
     def _forget_finished_shutdown(self, owner: str, alive: Mapping[str, int]) -> None:
         incarnation = self._shutting_down.get(owner, 0)
         if incarnation and alive.get(owner, incarnation) != incarnation:
-            del self._shutting_down[owner]  # it has restarted
+            del self._shutting_down[owner]  # the owner has restarted
 
     def _is_handing_over(self, owner: str, lease: Lease) -> bool:
         return (lease.holder, lease.process_nonce) == (owner, self._shutting_down.get(owner, 0))
@@ -121,7 +122,7 @@
     def _choose_successor(
         self, owner: str, alive: Mapping[str, int], placement: ReplicaPlacement | None
     ) -> str:
-        """Return the node with the most complete replica, once all replicas that are alive have answered."""
+        """Return the node with the most complete replica, once all live replica nodes have replied."""
         if placement is None or not placement.replicas:
             return ""  # no replica was ever complete
         answers = self._progress.get(owner, {})
@@ -129,7 +130,7 @@
         if not expected or any(name not in answers for name in expected):
             return ""
         progress = [answers[name] for name in expected]
-        chosen = most_complete([one for one in progress if one is not None])
+        chosen = most_complete([replica for replica in progress if replica is not None])
         return chosen.node if chosen is not None else ""
 
     def _reset(self, owner: str) -> None:
@@ -141,10 +142,10 @@
 def _has_lost_journal(
     owner: str, lease: Lease, lease_table: LeaseTable, incarnation: int, journal_epoch: int
 ) -> bool:
-    """Whether an owner came back without its data directory while replicas of its journal exist.
+    """Whether an owner restarted without its data directory while replicas of its journal exist.
 
-    It gets its lease again only after the takeover of that journal is complete, also if it comes back during
-    the takeover. A journal without any replica is lost for good, or there never was one.
+    The owner gets its lease again only after the takeover of that journal is complete, even if it restarts
+    during the takeover. A journal without any replica cannot be recovered, or never existed.
     """
     is_new = incarnation != 0 and not journal_epoch
     if not is_new or (lease.holder == owner and incarnation == lease.process_nonce):
@@ -155,20 +156,20 @@
 
 
 def _is_takeover_complete(owner: str, lease: Lease, lease_table: LeaseTable) -> bool:
-    """Whether all of a journal has been taken over under the current epoch."""
+    """Whether the takeover of a journal under the current epoch is complete."""
     return lease.holder != owner and lease_table.completed_takeovers.get(owner, 0) >= lease.epoch
 
 
 def is_takeover_incomplete(origin: tuple[str, int] | None, lease_table: LeaseTable) -> bool:
-    """Whether a message is not in force, since the takeover that it came with was not completed.
+    """Whether a message is not in force, since the takeover that it was journaled for is not complete.
 
     Args:
-        origin: owner and epoch of that takeover; None: the message did not come with one.
-        lease_table: the agreed leases.
+        origin: owner and epoch of that takeover; None if the message was not taken over.
+        lease_table: committed leases.
     """
     return origin is not None and lease_table.completed_takeovers.get(origin[0], 0) < origin[1]
 
 
 def is_taken_over(owner: str, epoch: int, lease_table: LeaseTable) -> bool:
-    """Whether a journal was taken over since its owner held the lease under an epoch."""
+    """Whether a journal was taken over after its owner held the lease under an epoch."""
     return lease_table.completed_takeovers.get(owner, 0) > epoch
--- a/winchspan/replication/replica_set.py
+++ b/winchspan/replication/replica_set.py
@@ -1,8 +1,8 @@
-"""The replica side of journal replication: which records and snapshots a node accepts for other owners.
+"""The replica side of journal replication: accepts or rejects records and snapshots of other owners.
 
-The state machine does no I/O. It returns actions in order: what precedes a reply has to be on disk before the
-reply is sent. The promised epoch of a replica only rises, and messages under an older epoch are rejected, so
-that an owner that was fenced by its successor finds no replica that acknowledges its records.
+The state machine does no I/O. It returns actions in order: the actions before a reply must be on disk before
+the reply is sent. The promised epoch of a replica only increases, and messages under an older epoch are
+rejected. Therefore no replica acknowledges the records of an owner that its successor has fenced.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
     SnapshotChunk,
 )
 
-MAX_PENDING_SNAPSHOT_BYTES = 4 << 20  # of incomplete snapshots, over all replicas of a node
+MAX_PENDING_SNAPSHOT_BYTES = 4 << 20  # limit of incomplete snapshots over all replicas of a node
 
 
 @dataclass(frozen=True, slots=True)
 class AppendRecords:
-    """Append records, which follow the replica's last one without a gap."""
+    """Append records, which follow the replica's last record without a gap."""
 
     owner: str
     epoch: int
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplaceRecords:
-    """Atomically replace the replica by a snapshot that ends at `last_index`."""
+    """Atomically replace the replica by a snapshot up to `last_index`."""
 
     owner: str
     epoch: int
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class PendingSnapshot:
-    """A snapshot whose chunks have not all arrived."""
+    """A snapshot that is not yet complete."""
 
     epoch: int
     last_index: int
@@ -69,7 +69,7 @@
     records: list[bytes] = field(default_factory=list)
 
     def is_continued_by(self, chunk: SnapshotChunk) -> bool:
-        """Whether a chunk is the next one of this snapshot."""
+        """Whether a chunk is the next chunk of this snapshot."""
         return (self.epoch, self.last_index, self.chunk_count) == (
             chunk.epoch,
             chunk.upto,
@@ -79,15 +79,15 @@
 
 @dataclass(slots=True)
 class ReplicaState:
-    """State of one replica, as the store has it on disk, and its pending snapshot."""
+    """State of one replica on disk, and its pending snapshot."""
 
-    promised_epoch: int = 0  # the oldest epoch that is accepted
-    epoch: int = 0  # of its records; 0: it has none
-    last_index: int = 0  # it has all records up to here
+    promised_epoch: int = 0  # oldest accepted epoch
+    epoch: int = 0  # epoch of the records; 0 if there are none
+    last_index: int = 0  # index up to which all records are present
     pending_snapshot: PendingSnapshot | None = None
 
     def last_index_under(self, epoch: int) -> int:
-        """Return the last index if the records are of that epoch, else -1."""
+        """Return the last index if the records are of the given epoch, else -1."""
         return self.last_index if self.epoch == epoch else -1
 
 
@@ -111,21 +111,21 @@
         """Start from the replicas in the store.
 
         Args:
-            replicas: by owner, as the store has found them.
-            max_pending_snapshot_bytes: limit for incomplete snapshots over all replicas.
+            replicas: state of each replica in the store, by owner.
+            max_pending_snapshot_bytes: limit of incomplete snapshots over all replicas.
         """
         self.replicas = replicas or {}
         self._max_pending_snapshot_bytes = max_pending_snapshot_bytes
         self._pending_snapshot_bytes = 0
 
     def handle_records(self, message: ReplicateRecords) -> list[Action]:
-        """Append an owner's records, or say what is missing before them."""
+        """Append an owner's records, or report the gap before them."""
         replica = self._replica(message.owner)
         if message.epoch < replica.promised_epoch:
             return [self._superseded(message, replica)]
         actions = self._raise_promise(message.owner, replica, message.epoch)
         if replica.epoch != message.epoch or replica.last_index + 1 < message.first:
-            # A gap, or records of another epoch: those may differ from what this owner has.
+            # A gap, or records of another epoch, which may differ from those of this owner.
             return [*actions, self._behind(message, replica)]
         new_records = message.items[replica.last_index + 1 - message.first :]
         if new_records:
@@ -134,7 +134,7 @@
         return [*actions, self._acknowledged(message, replica)]
 
     def handle_snapshot_chunk(self, chunk: SnapshotChunk) -> list[Action]:
-        """Collect a chunk; with the last one the snapshot replaces the replica, which counts until then."""
+        """Collect a chunk; the replica stays valid until the last chunk, when the snapshot replaces it."""
         replica = self._replica(chunk.owner)
         if chunk.epoch < replica.promised_epoch:
             return [self._superseded(chunk, replica)]
@@ -152,8 +152,8 @@
         """Promise a new owner of a journal to accept nothing under an older epoch.
 
         Returns:
-            The actions, and the progress of the replica; None if it has no records, or if a later epoch has
-            been promised already.
+            The actions, and the progress of the replica; None instead of the progress if the replica has no
+            records or a later epoch is promised already.
         """
         replica = self._replica(owner)
         actions = self._raise_promise(owner, replica, epoch)
@@ -162,7 +162,7 @@
         return actions, ReplicaProgress(replica.epoch, replica.last_index, "")
 
     def reset_progress(self, owner: str, epoch: int, last_index: int) -> None:
-        """Go back to what the store has, because an action of this replica failed."""
+        """Reset a replica to its state in the store, after one of its actions failed."""
         replica = self._replica(owner)
         replica.epoch = epoch
         replica.last_index = last_index
@@ -179,7 +179,7 @@
         return [PersistEpoch(owner, epoch)]
 
     def _collect(self, replica: ReplicaState, chunk: SnapshotChunk) -> bool:
-        """Add a chunk to the pending snapshot; discard that and return False if the chunk is not its next."""
+        """Add a chunk to the pending snapshot; discard the snapshot and return False if it does not fit."""
         if chunk.piece == 0:
             self._discard_pending_snapshot(replica)
             replica.pending_snapshot = PendingSnapshot(chunk.epoch, chunk.upto)
@@ -228,5 +228,7 @@
 
 
 def most_complete(progress: list[ReplicaProgress]) -> ReplicaProgress | None:
-    """Choose the replica of the latest epoch, in it of the greatest last index, then of the least name."""
-    return min(progress, key=lambda one: (-one.epoch, -one.last_index, one.node), default=None)
+    """Return the replica of the latest epoch; of several, that with the greatest index, then least name."""
+    return min(
+        progress, key=lambda replica: (-replica.epoch, -replica.last_index, replica.node), default=None
+    )
--- a/winchspan/replication/replica_store.py
+++ b/winchspan/replication/replica_store.py
@@ -1,13 +1,15 @@
-"""Replicas on disk: for each owner a message log in a directory of its own, within a common limit.
+"""Replicas on disk: one message log for each owner in a separate directory, within a common size limit.
 
 A replica is a message log (`winchspan.storage.message_log`) to which an owner's records are appended byte for
-byte. Among them stand two kinds of its own, whose JSON object names them under `t`:
+byte. The log also contains two kinds of records that the replica itself writes. The key `t` of the JSON
+object names the kind:
 
-    copy     e, n   the record `n` of epoch `e` comes next
-    promise  e      nothing under an epoch before `e` is accepted
+    copy     e, n   the next record has number `n` of epoch `e`
+    promise  e      records under an epoch before `e` are rejected
 
-Each record after a `copy` counts one on. A torn tail is cut off at recovery, so that what is left says up to
-which record the replica has no gap. It is compacted as the journal is, with one of each behind the messages.
+Each owner's record after a `copy` record increases the number by one. Recovery truncates a torn tail, so that
+the remaining records determine the last number without a gap. Compaction works as for the journal, and writes
+one record of each of the two kinds after the messages.
 """
 
 from __future__ import annotations
@@ -28,23 +30,23 @@
 from winchspan.storage.message_log import MessageLog
 from winchspan.storage.record_file import Record, encode_record, iterate_records
 
-_OWNER_NAME: Final = re.compile(r"[0-9A-Za-z_-]{1,64}")  # it is part of a path
-_RESERVED_KINDS: Final = ("file", "whole", "copy", "promise")  # of records that no owner sends
-_MAX_SHOWN_BYTES: Final = 40  # of an invalid record, in the error's message
+_OWNER_NAME: Final = re.compile(r"[0-9A-Za-z_-]{1,64}")  # used as a directory name
+_RESERVED_KINDS: Final = ("file", "whole", "copy", "promise")  # kinds that an owner must not send
+_MAX_SHOWN_BYTES: Final = 40  # of an invalid record in an error message
 
 
 class InvalidRecordsError(StorageError, ValueError):
-    """What an owner has sent are not records of a journal; the message says which is not."""
+    """An owner has sent data that are not valid journal records; the message shows the first invalid one."""
 
 
 def parse_records(items: tuple[bytes, ...]) -> list[tuple[dict[str, Any], Record]]:
-    """Decode records that an owner has sent.
+    """Decode records received from an owner.
 
     Returns:
-        The JSON object of each, and the record.
+        JSON object and record of each item.
 
     Raises:
-        InvalidRecordsError: one of them is not exactly one complete record of an owner's kind.
+        InvalidRecordsError: an item is not exactly one complete record of a kind that an owner may send.
     """
     return [_parse_record(item) for item in items]
 
@@ -56,26 +58,26 @@
         fields = json.loads(record.line)
         is_reserved_kind = fields["t"] in _RESERVED_KINDS
     except (IndexError, KeyError, TypeError, ValueError) as err:
-        raise InvalidRecordsError(f"no record: {item[:_MAX_SHOWN_BYTES]!r}") from err
+        raise InvalidRecordsError(f"not exactly one journal record: {item[:_MAX_SHOWN_BYTES]!r}") from err
     if len(records) != 1 or record.size_bytes != len(item) or is_reserved_kind:
-        raise InvalidRecordsError(f"no record: {item[:_MAX_SHOWN_BYTES]!r}")
-    try:  # before any is written: what is on disk must be what can be applied
+        raise InvalidRecordsError(f"not exactly one journal record: {item[:_MAX_SHOWN_BYTES]!r}")
+    try:  # before any record is written: all records on disk must be applicable
         decode_journal_record(fields, record.body)
     except (KeyError, TypeError, ValueError) as err:
-        raise InvalidRecordsError(f"not the fields of its kind: {item[:_MAX_SHOWN_BYTES]!r}") from err
+        raise InvalidRecordsError(f"invalid fields of a record: {item[:_MAX_SHOWN_BYTES]!r}") from err
     return fields, record
 
 
 class Replica(MessageLog):
-    """The replica of one owner's work."""
+    """The replica of one owner's journal."""
 
     def __init__(self, directory: Path, limit_bytes: int, disk: Disk) -> None:
-        """Open it, or create it.
+        """Open or create a replica.
 
         Args:
-            directory: one that it has for itself.
-            limit_bytes: what its files may take together.
-            disk: the calls that change files.
+            directory: directory of this replica alone.
+            limit_bytes: limit of the total size of its files.
+            disk: system calls that change files.
 
         Raises:
             OSError: a file cannot be opened, truncated or removed.
@@ -87,27 +89,27 @@
 
     @property
     def epoch(self) -> int:
-        """The epoch of its records; 0: there is none."""
+        """Epoch of the records; 0 if there are none."""
         return self._epoch
 
     @property
     def last_index(self) -> int:
-        """The sequence number of the last record up to which there is no gap."""
+        """Index up to which all records are present."""
         return self._last_index
 
     @property
     def promised_epoch(self) -> int:
-        """Nothing under an earlier epoch is accepted."""
+        """Oldest accepted epoch."""
         return self._promised_epoch
 
     def append(self, epoch: int, first_index: int, items: tuple[bytes, ...]) -> bool:
-        """Append records that follow what is here.
+        """Append records that follow the last record.
 
         Returns:
-            Whether they are on disk; nothing has changed if there is no capacity.
+            Whether the records are on disk; the replica is unchanged if there is no capacity.
 
         Raises:
-            InvalidRecordsError: not all of them are an owner's records.
+            InvalidRecordsError: not all items are valid records of an owner.
         """
         assert epoch == self._epoch and first_index == self._last_index + 1
         parsed = parse_records(items)
@@ -117,18 +119,18 @@
         return True
 
     def replace(self, epoch: int, last_index: int, items: tuple[bytes, ...]) -> bool:
-        """Replace all that is here by a full snapshot.
+        """Replace all records by a full snapshot.
 
         Args:
-            epoch: the snapshot's.
-            last_index: number of the last record that it covers.
-            items: its records.
+            epoch: epoch of the snapshot.
+            last_index: index of the last record that the snapshot covers.
+            items: records of the snapshot.
 
         Returns:
-            Whether it is on disk; nothing has changed if there is no capacity.
+            Whether the snapshot is on disk; the replica is unchanged if there is no capacity.
 
         Raises:
-            InvalidRecordsError: not all of them are an owner's records.
+            InvalidRecordsError: not all items are valid records of an owner.
         """
         parsed = parse_records(items)
         previous_state = self._state
@@ -148,7 +150,7 @@
         return True
 
     def persist_epoch(self, epoch: int) -> bool:
-        """Record that nothing under an earlier epoch is accepted; False if there is no capacity."""
+        """Persist the promise to reject earlier epochs; return False if there is no capacity."""
         if not self._append(_encode_promise(epoch)):
             return False
         self._promised_epoch = epoch
@@ -185,15 +187,19 @@
 
 
 class ReplicaStore:
-    """All replicas that a courier holds, each in a subdirectory named after its owner."""
+    """All replicas of a courier, each in a subdirectory named after its owner.
+
+    Attributes:
+        max_owner_count: greatest number of owners whose replicas the courier holds at the same time.
+    """
 
     def __init__(self, directory: Path, limit_bytes: int, disk: Disk) -> None:
-        """Open the replicas that are there.
+        """Open the existing replicas.
 
         Args:
-            directory: for all of them; it is created if it does not exist.
-            limit_bytes: what all of them may take together, in equal parts by `max_owner_count`.
-            disk: the calls that change files.
+            directory: parent directory of all replicas; it is created if it does not exist.
+            limit_bytes: limit of the total size of all replicas, divided equally by `max_owner_count`.
+            disk: system calls that change files.
 
         Raises:
             OSError: the directory or a file cannot be opened.
@@ -202,33 +208,33 @@
         self._limit_bytes = limit_bytes
         self._disk = disk
         self._replicas: dict[str, Replica] = {}
-        self.max_owner_count = 1  # owners that a courier may hold replicas of at once
+        self.max_owner_count = 1
         directory.mkdir(exist_ok=True)
         for path in sorted(directory.iterdir()):
             if path.is_dir() and _OWNER_NAME.fullmatch(path.name):
                 self._replicas[path.name] = self._open(path.name)
             else:
-                logger.warning("replicas: {} is not a replica, and is left alone", path)
+                logger.warning("replicas: {} is not a replica and is ignored", path)
 
     def replica_states(self) -> dict[str, ReplicaState]:
-        """What is on disk of each owner's work, as a `ReplicaSet` begins with it."""
+        """Return the state of each replica on disk by owner, for a `ReplicaSet`."""
         return {
             owner: ReplicaState(replica.promised_epoch, replica.epoch, replica.last_index)
             for owner, replica in self._replicas.items()
         }
 
     def replica(self, owner: str) -> Replica | None:
-        """The replica of an owner's work, if there is one."""
+        """Return the replica of an owner's journal; None if there is none."""
         return self._replicas.get(owner)
 
     def persist(self, command: AppendRecords | ReplaceRecords | PersistEpoch) -> bool:
-        """Carry out a command of a `ReplicaSet`.
+        """Execute a command of a `ReplicaSet`.
 
         Returns:
-            Whether it is on disk; nothing has changed if there is no capacity.
+            Whether the change is on disk; the replica is unchanged if there is no capacity.
 
         Raises:
-            InvalidRecordsError: its records, or its owner's name, are invalid.
+            InvalidRecordsError: the records or the owner's name are invalid.
         """
         replica = self._open_or_create(command.owner)
         if replica is None:
@@ -242,32 +248,32 @@
                 return replica.persist_epoch(epoch)
 
     def open_messages(self, owner: str) -> list[JournalEntry]:
-        """The open messages of an owner's work, in the order of acceptance."""
+        """Return the open messages of an owner's journal, in the order of acceptance."""
         replica = self._replicas.get(owner)
         return replica.open_messages if replica is not None else []
 
     def remove(self, owner: str) -> None:
-        """Remove a replica: its work is over, or held elsewhere."""
+        """Remove the replica of a journal that is finished or replicated elsewhere."""
         replica = self._replicas.pop(owner, None)
         if replica is not None:
-            replica.abandon()
+            replica.close_without_flush()
             shutil.rmtree(self._directory / owner, ignore_errors=True)
 
     def close(self) -> None:
-        """Let go of all files."""
+        """Close all files."""
         for replica in self._replicas.values():
-            replica.abandon()
+            replica.close_without_flush()
 
     def _open_or_create(self, owner: str) -> Replica | None:
         replica = self._replicas.get(owner)
         if replica is not None:
             return replica
         if not _OWNER_NAME.fullmatch(owner):
-            raise InvalidRecordsError(f"no owner's name: {owner!r:.80}")
+            raise InvalidRecordsError(f"invalid owner name: {owner!r:.80}")
         try:
             replica = self._open(owner)
         except OSError as err:
-            logger.error("replicas: cannot create that of {}: {}", owner, err)
+            logger.error("replicas: cannot create the replica of {}: {}", owner, err)
             return None
         self._replicas[owner] = replica
         return replica
--- a/winchspan/replication/stream.py
+++ b/winchspan/replication/stream.py
@@ -1,9 +1,9 @@
-"""The owner side of journal replication: numbered records on their way to the replicas.
+"""The owner side of journal replication: sends numbered records to the replicas.
 
-A record is acknowledged once every node of the agreed replica set has it, so that any one of them may take
-the journal over. The state machine does no I/O: fed with appended records and the replicas' messages, it
-returns what is to be sent. It retains the last `TAIL_BYTES` of records; a replica that is new, or that lacks
-more than these, catches up from a snapshot of the open messages.
+A record is acknowledged once every node of the committed replica set has it, so that each of them may take
+the journal over. The state machine does no I/O: it takes appended records and the replicas' messages, and
+returns the messages to send. It retains the last `TAIL_BYTES` of records. A replica that is new, or that
+lacks older records, catches up from a snapshot of the open messages.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 from winchspan.replication.messages import ReplicaAcknowledged, ReplicaBehind, ReplicateRecords, SnapshotChunk
 
-IN_SYNC_MAX_LAG_RECORDS: Final = 64  # a joining replica that is no further behind may join the set
-TAIL_BYTES: Final = 512 * 1024  # of the latest records, from which missing ones are sent again
-FRAME_BYTES: Final = 64 * 1024  # of records in one message; a longer record goes alone
+IN_SYNC_MAX_LAG_RECORDS: Final = 64  # greatest lag at which a joining replica may enter the replica set
+TAIL_BYTES: Final = 512 * 1024  # of the latest records, retained for retransmission
+FRAME_BYTES: Final = 64 * 1024  # of records in one message; a larger record is sent alone
 CHUNK_BYTES: Final = 32 * 1024  # of a snapshot in one message
-CHUNK_INTERVAL_MS: Final = 50.0  # between two chunks to one replica: 640 KB a second beside the traffic
-SLOW_AFTER_MS: Final = 300.0  # without an acknowledgement of a record: within the clients' 400 ms
-CATCH_UP_TIMEOUT_MS: Final = 5_000.0  # for a new replica's snapshot
-MAX_FRAMES_PER_REPLICA: Final = 3  # in one pass: bounds what its connection holds unread
+CHUNK_INTERVAL_MS: Final = 50.0  # between two chunks to a replica: 640 KB/s in addition to new records
+SLOW_AFTER_MS: Final = 300.0  # without an acknowledgement; shorter than the clients' timeout of 400 ms
+CATCH_UP_TIMEOUT_MS: Final = 5_000.0  # for the snapshot of a new replica
+MAX_FRAMES_PER_REPLICA: Final = 3  # in one pass; bounds the send buffer of the replica's connection
 RETRANSMIT_AFTER_MS: Final = 100.0  # without an acknowledgement
 
 
@@ -33,15 +33,15 @@
 
 @dataclass(slots=True)
 class _ReplicaCursor:
-    """How far one replica is, as the owner knows it."""
+    """Progress of one replica, as known to the owner."""
 
-    acknowledged_index: int = -1  # -1: it has no snapshot under this epoch yet
+    acknowledged_index: int = -1  # -1: no snapshot under this epoch yet
     sent_index: int = -1
-    waiting_since_ms: float | None = None  # when the oldest record that it has not acknowledged was appended
+    waiting_since_ms: float | None = None  # append time of the oldest unacknowledged record
     last_sent_at_ms: float = 0.0
-    chunks: deque[SnapshotChunk] | None = None  # still to be sent; None: no snapshot is under way
-    snapshot_index: int = 0  # last index of the snapshot under way
-    last_chunk: SnapshotChunk | None = None  # the chunk that was sent last
+    chunks: deque[SnapshotChunk] | None = None  # unsent chunks; None: no snapshot in progress
+    snapshot_index: int = 0  # last index of the snapshot in progress
+    last_chunk: SnapshotChunk | None = None  # most recently sent chunk
 
 
 class OutgoingMessage(NamedTuple):
@@ -55,19 +55,19 @@
     """Replication of one journal under one epoch.
 
     Attributes:
-        owner: node whose journal it is.
-        epoch: under which the owner holds the lease on its journal.
-        is_superseded: whether a later epoch is known, so that this node owns the journal no more.
+        owner: node whose journal is replicated.
+        epoch: epoch of the owner's lease on its journal.
+        is_superseded: whether a later epoch is known, so that this node no longer owns the journal.
     """
 
     def __init__(self, owner: str, epoch: int, replicas: Iterable[str], now: float = 0.0) -> None:
         """Start a stream; each replica gets a snapshot first.
 
         Args:
-            owner: node whose journal it is.
-            epoch: of the owner's lease.
-            replicas: names of the nodes in the agreed set; without any, a record is acknowledged at once.
-            now: the clock's reading in ms.
+            owner: node whose journal is replicated.
+            epoch: epoch of the owner's lease.
+            replicas: nodes of the committed replica set; if empty, records are acknowledged at once.
+            now: clock reading, ms.
         """
         self.owner = owner
         self.epoch = epoch
@@ -76,7 +76,7 @@
         self._tail: dict[int, _TailRecord] = {}  # the latest records by index, in order
         self._tail_bytes = 0
         self._cursors = {name: _ReplicaCursor(waiting_since_ms=now) for name in sorted(replicas)}
-        self._voters = set(self._cursors)  # without those that only join
+        self._voters = set(self._cursors)  # committed replicas, without joining nodes
 
     # ---- appended records --------------------------------------------------------------------------------
     @property
@@ -86,7 +86,7 @@
 
     @property
     def acknowledged_index(self) -> int:
-        """Index up to which every replica has all records; -1 while one still lacks its snapshot."""
+        """Index up to which every replica has all records; -1 while a replica lacks its snapshot."""
         return min(
             (cursor.acknowledged_index for name, cursor in self._cursors.items() if name in self._voters),
             default=self.last_index,
@@ -113,7 +113,7 @@
         return index
 
     def set_replicas(self, now: float, replicas: Iterable[str], joining: Iterable[str] = ()) -> None:
-        """Change the replica set as agreed; joining nodes catch up, but are not waited for yet."""
+        """Change the replica set; joining nodes catch up, but records do not wait for them."""
         self._voters = set(replicas)
         names = self._voters | set(joining)
         self._cursors = {
@@ -125,7 +125,7 @@
 
     # ---- messages of replicas ----------------------------------------------------------------------------
     def handle_acknowledged(self, now: float, node: str, message: ReplicaAcknowledged) -> bool:
-        """Note a replica's acknowledgement; return whether `acknowledged_index` has risen."""
+        """Process a replica's acknowledgement; return whether `acknowledged_index` has increased."""
         cursor = self._cursors.get(node)
         index = message.upto
         if cursor is None or message.epoch != self.epoch or index > self.last_index:
@@ -140,13 +140,13 @@
         return self.acknowledged_index > previous_index
 
     def handle_behind(self, now: float, node: str, message: ReplicaBehind) -> None:
-        """Send a replica with a gap what it lacks, from there on."""
+        """Process a replica's report of a gap; records are sent again from there on."""
         cursor = self._cursors.get(node)
         if cursor is None or message.epoch != self.epoch:
             return
         if cursor.chunks is not None and cursor.last_chunk is None:
             return  # a snapshot is about to be sent
-        # The replica has lost what it lacks, even if acknowledged before: its data directory may be another.
+        # The replica may have lost acknowledged records: its data directory may have been replaced.
         cursor.acknowledged_index = min(message.upto, self.last_index)
         cursor.sent_index = cursor.acknowledged_index
         cursor.chunks = None
@@ -155,7 +155,7 @@
             cursor.waiting_since_ms = now
 
     def progress_query(self, node: str) -> ReplicateRecords | None:
-        """Return what to ask a replica on a new connection: its data directory may be another by now."""
+        """Return the progress query for a replica on a new connection, as its data directory may be new."""
         cursor = self._cursors.get(node)
         if cursor is None or cursor.acknowledged_index < 0 or self.is_superseded:
             return None
@@ -166,11 +166,11 @@
 
     # ---- messages to replicas ----------------------------------------------------------------------------
     def messages_to_send(self, now: float, open_records: Callable[[], list[bytes]]) -> list[OutgoingMessage]:
-        """Return what is to be sent now; called after appends, and every few ten ms.
+        """Return the messages to send now; called after appends, and every few tens of ms.
 
         Args:
-            now: the clock's reading in ms.
-            open_records: returns the records of a snapshot of the open messages at this moment.
+            now: clock reading, ms.
+            open_records: returns the records of a snapshot of the open messages.
         """
         outgoing: list[OutgoingMessage] = []
         if self.is_superseded:
@@ -188,13 +188,13 @@
         return outgoing
 
     def _needs_snapshot(self, cursor: _ReplicaCursor) -> bool:
-        """Whether the tail does not reach back to the next record of a replica."""
+        """Whether the tail does not contain the next record of a replica."""
         if cursor.sent_index < 0:
             return True
         return cursor.sent_index < self.last_index and cursor.sent_index + 1 not in self._tail
 
     def _start_snapshot(self, cursor: _ReplicaCursor, records: list[bytes]) -> None:
-        """Divide a snapshot into chunks."""
+        """Divide the records of a snapshot into chunks."""
         groups: list[list[bytes]] = [[]]
         group_bytes = 0
         for record in records:
@@ -214,7 +214,7 @@
 
     @staticmethod
     def _chunk_to_send(now: float, node: str, cursor: _ReplicaCursor) -> list[OutgoingMessage]:
-        """Return the next chunk at its pace; after the last one, that one again until it is acknowledged."""
+        """Return the next chunk when it is due; the last chunk is repeated until it is acknowledged."""
         assert cursor.chunks is not None
         interval_ms = CHUNK_INTERVAL_MS if cursor.chunks else RETRANSMIT_AFTER_MS
         if now < cursor.last_sent_at_ms + interval_ms:
@@ -228,7 +228,7 @@
         return [OutgoingMessage(node, cursor.last_chunk)]
 
     def _records_to_send(self, now: float, node: str, cursor: _ReplicaCursor) -> list[OutgoingMessage]:
-        """Return the records that a replica was not sent, in messages of bounded size and number."""
+        """Return the unsent records for a replica, in messages of bounded size and number."""
         outgoing: list[OutgoingMessage] = []
         records: list[bytes] = []
         first_index = cursor.sent_index + 1
@@ -255,7 +255,7 @@
 
     # ---- replica health ----------------------------------------------------------------------------------
     def slow_replicas(self, now: float) -> list[str]:
-        """Return the nodes that have left a record unacknowledged for too long, and are to be replaced."""
+        """Return the nodes that have not acknowledged a record for too long and are to be replaced."""
         return [node for node, cursor in self._cursors.items() if self._is_slow(now, cursor)]
 
     @staticmethod
@@ -266,14 +266,14 @@
         return now - cursor.waiting_since_ms > limit_ms
 
     def is_in_sync(self, node: str) -> bool:
-        """Whether a replica has all records but for those that are in flight now."""
+        """Whether a replica has all records except for at most `IN_SYNC_MAX_LAG_RECORDS` in flight."""
         cursor = self._cursors.get(node)
         if cursor is None or cursor.acknowledged_index < 0:
             return False
         return self.last_index - cursor.acknowledged_index <= IN_SYNC_MAX_LAG_RECORDS
 
     def lag_ms(self, now: float) -> float:
-        """Return for how many ms the oldest record has waited for a replica; 0 if none does."""
+        """Return for how many ms the oldest unacknowledged record has waited; 0 if there is none."""
         return max(
             (
                 now - cursor.waiting_since_ms
--- a/winchspan/runtime/__init__.py
+++ b/winchspan/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every component uses: clock, timers, event-loop poll monitor, system access, logging and metrics."""
+"""Basic services for all components: clock, timers, poll monitor, system access, logging and metrics."""
--- a/winchspan/runtime/clock.py
+++ b/winchspan/runtime/clock.py
@@ -1,4 +1,4 @@
-"""The clock that every component reads: float milliseconds, and a manual one for tests."""
+"""The clock of all components, in float milliseconds, and a manual clock for tests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def ms_to_ns(ms: float) -> int:
-    """Convert milliseconds to the whole nanoseconds of the scheduling package."""
+    """Convert milliseconds to whole nanoseconds, the unit of the scheduling package."""
     return int(ms * NS_PER_MS)
 
 
@@ -39,7 +39,7 @@
     """Reads the clocks of the operating system.
 
     Attributes:
-        persistent_offset_ms: what `persistent_unix_ms` adds to `now`.
+        persistent_offset_ms: difference between `persistent_unix_ms` and `now`.
         boot_id: the kernel's boot id; empty if it is unknown.
     """
 
@@ -48,33 +48,33 @@
         self.boot_id = read_boot_id()
 
     def now(self) -> float:
-        """Return monotonic milliseconds, comparable within one boot."""
+        """Return monotonic milliseconds, comparable between processes of one boot."""
         return time.monotonic() * MS_PER_SECOND
 
     def boottime_ms(self) -> float:
-        """Return monotonic milliseconds that include the time for which the machine is suspended.
+        """Return monotonic milliseconds, including the time for which the machine is suspended.
 
-        Leases are timed with this clock (CLOCK_BOOTTIME), as a suspended holder must not keep its lease.
+        Leases are timed with this clock (CLOCK_BOOTTIME): a suspended holder must not keep its lease.
         """
         if hasattr(time, "CLOCK_BOOTTIME"):
             return time.clock_gettime(time.CLOCK_BOOTTIME) * MS_PER_SECOND
         return self.now()
 
     def unix_ms(self) -> float:
-        """Return the Unix time in milliseconds that the system's wall clock shows."""
+        """Return the system's wall clock as Unix time in milliseconds."""
         return time.time() * MS_PER_SECOND
 
     def persistent_unix_ms(self) -> float:
         """Return the Unix time in milliseconds for times that must survive a restart.
 
-        It advances with the monotonic clock from the start of the process, or of an earlier process of the
-        same boot: setting the wall clock must not make deadlines and deduplication windows longer or shorter.
+        It advances with the monotonic clock from the start of this process, or of an earlier process of the
+        same boot: setting the wall clock must not change the length of deadlines and deduplication windows.
         """
         return self.now() + self.persistent_offset_ms
 
     @property
     def wall_clock_skew_ms(self) -> float:
-        """By how many milliseconds `unix_ms` is ahead of `persistent_unix_ms`."""
+        """Milliseconds by which `unix_ms` is ahead of `persistent_unix_ms`."""
         return self.unix_ms() - self.persistent_unix_ms()
 
 
--- a/winchspan/runtime/log_setup.py
+++ b/winchspan/runtime/log_setup.py
@@ -18,10 +18,10 @@
 
 
 class LogRateLimiter:
-    """A log filter that passes a limited number of lines in each time window.
+    """A log filter that passes a limited number of lines per time window.
 
-    The first line of the next window says how many were dropped. Guards against a log that grows without
-    bound, or occupies the core, when a peer misbehaves.
+    The first line of the next window states how many were dropped. This bounds the size of the log, and the
+    time spent on it, when a peer misbehaves.
     """
 
     def __init__(self, clock: Clock, max_lines: int = MAX_LINES_PER_WINDOW) -> None:
@@ -31,17 +31,17 @@
         self._line_count = 0
 
     def __call__(self, record: Record) -> bool:
-        """Return whether the line is written."""
+        """Return whether the log line is written."""
         if self._clock.now() - self._window_start_ms >= WINDOW_MS:
             self._start_window(record)
         self._line_count += 1
         return self._line_count <= self._max_lines
 
     def _start_window(self, record: Record) -> None:
-        """Start the next window, and report in its first line what the one before has dropped."""
+        """Start the next window, and add the number of dropped lines to its first line."""
         dropped_count = self._line_count - self._max_lines
         if dropped_count > 0:
-            record["message"] += f" ({dropped_count} lines before this one left out)"
+            record["message"] += f" ({dropped_count} earlier lines dropped)"
         self._window_start_ms = self._clock.now()
         self._line_count = 0
 
--- a/winchspan/runtime/metrics.py
+++ b/winchspan/runtime/metrics.py
@@ -1,4 +1,4 @@
-"""The counters of one process, which start at 0, and their text form."""
+"""Counters of one process, and their text format."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import Final
 
 OUTCOMES: Final = ("answered", "deferred", "errored")
-"""How a message is completed, as the metric names have it."""
+"""Outcomes of completed messages, as used in metric names."""
 
 
 class Metrics:
@@ -14,9 +14,9 @@
 
     Attributes:
         completed_counts: completed messages by outcome, then by message class.
-        sent_count: messages that were written completely to endpoints.
-        config_loaded_count: configurations that were put in force.
-        config_invalid_count: configurations that were rejected.
+        sent_count: number of messages that were written completely to endpoints.
+        config_loaded_count: number of configurations that were applied.
+        config_invalid_count: number of configurations that were rejected.
     """
 
     def __init__(self, classes: Iterable[str] = ()) -> None:
@@ -27,7 +27,7 @@
         self.register_classes(classes)
 
     def register_classes(self, classes: Iterable[str]) -> None:
-        """Report these message classes from now on, also with a count of 0; earlier ones remain."""
+        """Report these message classes from now on, even with a count of 0; earlier classes remain."""
         names = tuple(classes)
         for counts in self.completed_counts.values():
             for name in names:
@@ -39,14 +39,14 @@
         counts[class_name] = counts.get(class_name, 0) + 1
 
     def count_sent(self, message_count: int) -> None:
-        """Count messages that were written completely to an endpoint, in one call."""
+        """Count the messages of a call that was written completely to an endpoint."""
         self.sent_count += message_count
 
     def render(self, prefix: str, gauges: Mapping[str, int]) -> str:
-        """Return all metrics, one a line.
+        """Return all metrics, one per line.
 
         Args:
-            prefix: what each metric's name begins with.
+            prefix: prefix of each metric's name.
             gauges: current values by name.
 
         Returns:
--- a/winchspan/runtime/process_start.py
+++ b/winchspan/runtime/process_start.py
@@ -1,4 +1,4 @@
-"""The start time of this process, as closely as its own code can tell: imported before all other modules."""
+"""The start time of this process; imported before all other modules so that it is as early as possible."""
 
 from time import monotonic
 
--- a/winchspan/runtime/slot_table.py
+++ b/winchspan/runtime/slot_table.py
@@ -1,6 +1,6 @@
-"""A table of numbered slots with generations, so that a late event cannot reach a slot's next item.
+"""A table of numbered slots with generations, so that a stale handle cannot reach a slot's next item.
 
-An upgrade hands a table to the next process by the names of its attributes.
+An upgrade transfers a table to the next process by its attribute names.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class SlotTable(Generic[T]):
-    """Holds items under handles, each valid until its item is removed and never again.
+    """Stores items under handles, each valid only until its item is removed.
 
     A handle is the slot's generation, shifted by 20 bits, and the slot's index.
     """
--- a/winchspan/runtime/smoothing.py
+++ b/winchspan/runtime/smoothing.py
@@ -1,4 +1,4 @@
-"""Smoothed statistics that need constant memory."""
+"""Smoothed statistics in constant memory."""
 
 from __future__ import annotations
 
--- a/winchspan/runtime/system.py
+++ b/winchspan/runtime/system.py
@@ -1,4 +1,4 @@
-"""What a courier uses of the operating system, so that a simulation can substitute it."""
+"""A courier's access to the operating system, which a simulation can substitute."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Listener(Protocol):
-    """A non-blocking listening socket; the event loop reports by `add_reader` when a client connects."""
+    """A non-blocking listening socket; `add_reader` of the event loop reports connecting clients."""
 
     def accept(self) -> tuple[Any, Any]:
         """Accept a connection.
@@ -38,14 +38,14 @@
         """
 
     def getsockname(self) -> tuple[Any, ...]:
-        """Return the address: host, port, and what else the address family has."""
+        """Return the address: host, port, and further fields of the address family."""
 
     def close(self) -> None:
         """Stop listening."""
 
 
 class Disk:
-    """The calls that change files; each raises OSError. A simulated disk can make them fail."""
+    """The calls that change files; each may raise OSError. A simulated disk can make them fail."""
 
     def open(self, path: Path, flags: int) -> int:
         """Open a file that only this user may read, and return its descriptor."""
@@ -66,7 +66,7 @@
 
 
 def file_descriptor(transport: asyncio.BaseTransport) -> int:
-    """Return the descriptor of a connection; a simulated connection has a number of its own."""
+    """Return the descriptor of a connection; a simulated connection has a simulated descriptor."""
     sock = transport.get_extra_info("socket")
     return int(sock.fileno() if sock is not None else transport.get_extra_info("descriptor"))
 
@@ -80,7 +80,7 @@
         self._poll_monitor = poll_monitor
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Wait for at most `timeout` seconds, and return what is ready."""
+        """Wait for at most `timeout` seconds, and return the sockets that are ready."""
         start_ms = self._clock.now()
         ready: list[tuple[selectors.SelectorKey, int]] = super().select(timeout)
         timeout_ms = None if timeout is None else timeout * MS_PER_SECOND
@@ -94,12 +94,12 @@
     """The operating system.
 
     Attributes:
-        clock: the clock that all components read.
+        clock: the clock of all components.
         environ: the environment variables.
-        poll_monitor: when the event loop has polled its sockets.
+        poll_monitor: records when the event loop has polled its sockets.
         disk: the calls that change files.
-        archiver_factory: creates the archiver of undelivered messages where it may not use a thread of its
-            own; None for the usual one.
+        archiver_factory: creates the archiver of undelivered messages where it must not start a thread;
+            None for the default archiver.
     """
 
     def __init__(
@@ -108,12 +108,12 @@
         environ: Mapping[str, str] = os.environ,
         process_start_ms: float | None = None,
     ) -> None:
-        """Create it.
+        """Create the interface to the operating system.
 
         Args:
-            clock: the clock to use, by default the system's.
+            clock: the clock to use; None for the system's.
             environ: the environment variables.
-            process_start_ms: the clock's reading when the process began, if it is known.
+            process_start_ms: the clock's reading at the start of the process; None if unknown.
         """
         self.clock = clock or Clock()
         self.environ = environ
@@ -138,18 +138,18 @@
             fcntl.flock(self._locked_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             return False
-        except OSError:  # a file system without locks: go on without one
+        except OSError:  # the file system has no locks: continue without a lock
             pass
         return True
 
     def unlock_directory(self) -> None:
-        """Let another process lock the directory."""
+        """Release the lock of the directory."""
         if self._locked_fd >= 0:
             os.close(self._locked_fd)
             self._locked_fd = _NO_DESCRIPTOR
 
     def inherit_listener(self, descriptor: int) -> Listener:
-        """Return the listening socket that the parent process has opened.
+        """Return the listening socket that the parent process opened.
 
         Raises:
             OSError: if the descriptor is no listening socket.
@@ -157,7 +157,7 @@
         listener = socket.socket(fileno=descriptor)
         if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
             listener.detach()
-            raise OSError(errno.EINVAL, "it does not listen")
+            raise OSError(errno.EINVAL, "the socket is not listening")
         listener.setblocking(False)
         return listener
 
@@ -184,11 +184,11 @@
 
     def random_nonce(self) -> int:
         """Return a random number from 1 to 2**51 that distinguishes this process from others."""
-        random_bytes = os.urandom(_NONCE_SOURCE_BYTES)  # importing `secrets` would cost each start some time
+        random_bytes = os.urandom(_NONCE_SOURCE_BYTES)  # importing `secrets` would slow down each start
         return (int.from_bytes(random_bytes) >> (8 * _NONCE_SOURCE_BYTES - _NONCE_BITS)) + 1
 
     def random_token(self) -> bytes:
-        """Return 16 random bytes that nobody can guess."""
+        """Return 16 cryptographically secure random bytes."""
         return os.urandom(_TOKEN_BYTES)
 
     def listen(self, host: str, port: int) -> Listener:
--- a/winchspan/runtime/timers.py
+++ b/winchspan/runtime/timers.py
@@ -1,4 +1,4 @@
-"""All timers of a process, in one ordered queue with a single event-loop timer."""
+"""A priority queue of all timers of a process, driven by a single event-loop timer."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from winchspan.runtime.poll_monitor import PollMonitor
 
 MIN_COMPACTION_SIZE: Final = 1_024
-"""Timers in the heap, cancelled ones included, below which it is not compacted."""
+"""Number of timers in the heap, including cancelled ones, below which it is not compacted."""
 
 
 class Timer:
@@ -27,7 +27,7 @@
         self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """Keep the callback from being called; has no effect afterwards."""
+        """Cancel the callback; has no effect if it was called already."""
         self.callback = None
 
 
@@ -43,15 +43,15 @@
         """Create an empty queue.
 
         Args:
-            clock: what deadlines are compared with.
+            clock: the clock that deadlines refer to.
             loop: the event loop that calls `run_due`; None if the owner calls it.
-            poll_monitor: when the loop last polled its sockets.
+            poll_monitor: records when the loop last polled its sockets.
         """
         self._clock = clock
         self._loop = loop
         self._poll_monitor = poll_monitor or PollMonitor()
         self._heap: list[tuple[float, int, Timer]] = []
-        self._sequence = count()  # keeps the order of timers with equal deadlines
+        self._sequence = count()  # preserves the order of timers with equal deadlines
         self._loop_timer: asyncio.TimerHandle | None = None
         self._loop_timer_deadline_ms = float("inf")
         self._compaction_size = MIN_COMPACTION_SIZE
@@ -71,26 +71,26 @@
         return self.call_at(self._clock.now() + delay_ms, callback)
 
     def next_deadline_ms(self) -> float | None:
-        """Return the earliest deadline that is not cancelled, or None if there is none."""
+        """Return the deadline of the earliest active timer, or None if there is none."""
         while self._heap and self._heap[0][2].callback is None:
             heappop(self._heap)
         return self._heap[0][0] if self._heap else None
 
     def pause(self) -> None:
-        """Call nothing, whatever becomes due, until `resume`."""
+        """Call no callbacks until `resume`, even if they become due."""
         self._is_paused = True
 
     def resume(self) -> None:
-        """Call what has become due since `pause`, and continue."""
+        """Call the callbacks that have become due since `pause`, and continue."""
         self._is_paused = False
         self.run_due()
 
     def run_due(self) -> None:
-        """Call all that was due when the sockets were last polled.
+        """Call all callbacks that were due when the sockets were last polled.
 
-        What has become due since waits for the next poll. Guards against a dispatch cycle that was held up:
-        the answer to a call may have arrived meanwhile, and the call would be taken for overdue. A callback
-        that raises is logged and does not stop the others.
+        Callbacks that have become due since then wait for the next poll: after a delayed dispatch cycle, the
+        response to a call may have arrived unread, and the call must not be judged as overdue. An exception
+        of a callback is logged and does not stop the others.
         """
         if self._is_paused:
             return
@@ -100,12 +100,12 @@
             if callback is not None:
                 try:
                     callback()
-                except Exception:  # one component's fault must not stop the timers of the others
+                except Exception:  # a fault in one component must not stop the timers of others
                     logger.exception("timer callback failed")
         self._arm_loop_timer()
 
     def _compact(self) -> None:
-        """Drop cancelled timers: guards against a heap that grows by them."""
+        """Remove cancelled timers, so that they do not accumulate in the heap."""
         self._heap = [entry for entry in self._heap if entry[2].callback is not None]
         heapify(self._heap)
         self._compaction_size = max(MIN_COMPACTION_SIZE, 2 * len(self._heap))
--- a/winchspan/scheduling/recovery_budget.py
+++ b/winchspan/scheduling/recovery_budget.py
@@ -1,8 +1,8 @@
-"""How many calls a capacity that returns cold bears from all senders, and when one sender may make the next.
+"""Call budget of a capacity that warms up after an outage, and the pace of one sender within it.
 
-In any window of `tip_after_ns` a cold capacity bears `fall_multiple` times what it can do, N calls, and some
-more for chance. It can do `start_capacity` of all at its return, and more in proportion to the time since,
-until it is warm after `cold_ns`.
+In any window of `tip_after_ns` a capacity that warms up tolerates N calls from all senders, `fall_multiple`
+times its throughput, plus a margin for random variation. At its return the throughput is the fraction
+`start_capacity` of the full one, and it rises linearly to the full one within `cold_ns`.
 """
 
 from __future__ import annotations
@@ -12,73 +12,85 @@
 
 from winchspan.api import Settings
 
-# Above its budget of N calls a capacity bears 2 sqrt(N) + 2 for chance, or 3 sqrt(N) + 3 where N is small.
-SMALL_BUDGET: Final = 30
-DEVIATIONS: Final = 3  # standard deviations between the mean of all senders' calls and the limit
-MIN_VARIANCE: Final = 1 / 6  # of the calls of one sender, over their mean, where it makes several in a window
+# The margin above a budget of N calls is 2 sqrt(N) + 2 calls, or 3 sqrt(N) + 3 where N is below this.
+SMALL_BUDGET_CALLS: Final = 30
+LIMIT_DEVIATIONS: Final = 3  # standard deviations from the mean of all senders' calls to the limit
+# Lower bound on variance / mean of the calls of one sender that makes several calls in a window.
+MIN_VARIANCE_RATIO: Final = 1 / 6
 
 
-class ColdCapacity(NamedTuple):
-    """What a cold capacity can do.
+class WarmUpCapacity(NamedTuple):
+    """The throughput of a capacity that warms up.
 
     Attributes:
-        part: of what it can do when it is warm.
-        rise_per_ns: by which that part grows; 0: its return is still to come.
+        fraction: its throughput as a fraction of the full one.
+        fraction_rise_per_ns: the growth of `fraction` per nanosecond; 0: the capacity has not returned yet.
     """
 
-    part: float
-    rise_per_ns: float
+    fraction: float
+    fraction_rise_per_ns: float
 
 
-def cold_capacity(settings: Settings, ramp_ns: int | None, now: int) -> ColdCapacity:
-    """Return what a capacity can do now.
+def warm_up_capacity(settings: Settings, return_ns: int | None, now: int) -> WarmUpCapacity:
+    """Return the present throughput of a capacity.
 
     Args:
-        settings: the platform's.
-        ramp_ns: the moment of its return; None: that is still to come.
-        now: the present time.
+        settings: the scheduler's settings.
+        return_ns: the time of its return; None: it has not returned yet.
+        now: the current time.
     """
-    if ramp_ns is None:
-        return ColdCapacity(settings.start_capacity, 0.0)
-    rise_per_ns = (1 - settings.start_capacity) / settings.cold_ns
-    since_ns = min(max(0, now - ramp_ns), settings.cold_ns)
-    return ColdCapacity(settings.start_capacity + rise_per_ns * since_ns, rise_per_ns)
+    if return_ns is None:
+        return WarmUpCapacity(settings.start_capacity, 0.0)
+    fraction_rise_per_ns = (1 - settings.start_capacity) / settings.cold_ns
+    since_ns = min(max(0, now - return_ns), settings.cold_ns)
+    return WarmUpCapacity(settings.start_capacity + fraction_rise_per_ns * since_ns, fraction_rise_per_ns)
 
 
-def least_demand_per_ns(settings: Settings) -> float:
-    """Return the demand of a sender that asks for nearly nothing: all of them make a call in `cold_ns`."""
+def min_demand_per_ns(settings: Settings) -> float:
+    """Return the smallest demand that is assumed: all senders together make one call in `cold_ns`."""
     return 1 / (settings.senders * settings.cold_ns)
 
 
-def gap_ns(settings: Settings, demand_per_ns: float, cold: ColdCapacity, calls: float) -> int:
-    """Return the time in which a cold capacity bears so many calls of a part of it.
+def call_interval_ns(
+    settings: Settings, demand_per_ns: float, capacity: WarmUpCapacity, call_count: float
+) -> int:
+    """Return the time in which a capacity that warms up allows one sender a number of calls.
 
     Args:
-        settings: the platform's.
-        demand_per_ns: the part, in calls a nanosecond when the capacity is warm.
-        cold: what the capacity can do.
-        calls: how many.
+        settings: the scheduler's settings.
+        demand_per_ns: the sender's share of the full capacity, in calls a nanosecond.
+        capacity: the present throughput of the capacity.
+        call_count: the number of calls.
     """
-    room = calls / (settings.fall_multiple * max(demand_per_ns, least_demand_per_ns(settings)))
-    return int(2 * room / (cold.part + (cold.part * cold.part + 2 * cold.rise_per_ns * room) ** 0.5))
-
-
-def budget_share(settings: Settings, demand_per_ns: float, part: float) -> float:
-    """Return how many times its part of the budget a sender may use: a capacity bears more for chance.
-
-    The calls of all senders in a window have a mean of `share * budget` and a variance of that times
-    `variance`: nearly one where a sender makes few calls in a window, less where their gaps even out. The
-    share is the one at which the limit lies `DEVIATIONS` standard deviations above the mean.
+    full_capacity_ns = call_count / (settings.fall_multiple * max(demand_per_ns, min_demand_per_ns(settings)))
+    return int(
+        2
+        * full_capacity_ns
+        / (
+            capacity.fraction
+            + (capacity.fraction * capacity.fraction + 2 * capacity.fraction_rise_per_ns * full_capacity_ns)
+            ** 0.5
+        )
+    )
+
+
+def budget_share(settings: Settings, demand_per_ns: float, capacity_fraction: float) -> float:
+    """Return the factor by which a sender may exceed its share of the budget, thanks to the margin.
+
+    The number of calls of all senders in a window has the mean `factor * budget` and the variance
+    `variance_ratio` times that mean. The ratio is nearly 1 where a sender makes few calls in a window,
+    and lower where it makes several, as their intervals average out. At the returned factor the limit lies
+    `LIMIT_DEVIATIONS` standard deviations above the mean.
 
     Args:
-        settings: the platform's.
-        demand_per_ns: the sender's part of the capacity, in calls a nanosecond when that is warm.
-        part: what the capacity can do, of what it can do when it is warm.
+        settings: the scheduler's settings.
+        demand_per_ns: the sender's share of the full capacity, in calls a nanosecond.
+        capacity_fraction: the throughput of the capacity, as a fraction of the full one.
     """
-    own_budget = settings.fall_multiple * part * demand_per_ns * settings.tip_after_ns
+    own_budget = settings.fall_multiple * capacity_fraction * demand_per_ns * settings.tip_after_ns
     budget = settings.senders * own_budget
-    limit = budget + (3 if budget < SMALL_BUDGET else 2) * (math.sqrt(budget) + 1)
-    variance = max(MIN_VARIANCE, 1 - own_budget)
-    chance = DEVIATIONS * math.sqrt(budget * variance)
-    root = (math.sqrt(chance * chance + 4 * budget * limit) - chance) / (2 * budget)
+    limit = budget + (3 if budget < SMALL_BUDGET_CALLS else 2) * (math.sqrt(budget) + 1)
+    variance_ratio = max(MIN_VARIANCE_RATIO, 1 - own_budget)
+    deviation = LIMIT_DEVIATIONS * math.sqrt(budget * variance_ratio)
+    root = (math.sqrt(deviation * deviation + 4 * budget * limit) - deviation) / (2 * budget)
     return root * root
