--- a/winchspan/scheduling/scheduler.py
+++ b/winchspan/scheduling/scheduler.py
@@ -1,4 +1,4 @@
-"""Decides by 2DFQ^E (Mace et al., SIGCOMM 2016, section 5): a destination is a tenant, a slot is a thread."""
+"""Schedules by 2DFQ^E (Mace et al., SIGCOMM 2016, section 5): destinations are tenants, slots are threads."""
 
 from __future__ import annotations
 
@@ -16,14 +16,17 @@
 from winchspan.scheduling.slow_start import SECOND, FailureKind
 from winchspan.scheduling.state import NEVER, Call, Destination, Endpoint, Message, RateLimit
 
-ALPHA: Final = 0.99  # decay of the pessimistic cost at each completion (the paper's)
-BILLING_NS: Final = 10_000_000  # running calls are billed in whole steps of this (the paper's)
-GROWS_WITHIN: Final = 2  # a call back within this multiple of the best latency widens the window
-STUCK: Final = 4  # a call this many times overdue is taken for one that will not come back soon
-RESERVED_PART: Final = 16  # one part in so many of the capacity is kept free for what arrives
-RETRY_SHARE, RETRY_BURST = 0.2, 10.0  # retries after a possible run: earned by a delivery, saved at most
-RISK: Final = {Effect.REPEATABLE: 0, Effect.KEYED: 1, Effect.ONCE: 2}  # what a call with no outcome costs
-NEVER_RAN: Final = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)  # proof that the call never ran
+ALPHA: Final = 0.99  # decay of the pessimistic cost at each completion (value of the paper)
+BILLING_NS: Final = 10_000_000  # running calls are billed in whole steps of this length (value of the paper)
+WINDOW_GROWTH_MULTIPLE: Final = 2  # a delivery within this multiple of the best latency widens the window
+STUCK_MULTIPLE: Final = 4  # a call that takes this multiple of its overdue time is considered stuck
+RESERVED_CAPACITY_DIVISOR: Final = 16  # one part in 16 of `max_held` is kept free for new messages
+# Retries after a possible execution: tokens earned per delivery, and the largest number saved.
+RETRY_SHARE, RETRY_BURST = 0.2, 10.0
+# Cost of a call without a known outcome.
+EFFECT_RISK: Final = {Effect.REPEATABLE: 0, Effect.KEYED: 1, Effect.ONCE: 2}
+# Outcomes that prove that the call was not executed.
+NEVER_RAN: Final = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 _FAILURE_KINDS: Final = {
     Outcome.TIMEOUT: FailureKind.SILENT,
@@ -33,20 +36,20 @@
 
 
 class Scheduler:
-    """Decides for one sender. The same settings, seed and events give the same commands."""
+    """The scheduler of one sender. The same settings, seed and events produce the same commands."""
 
     def __init__(self, settings: Settings, seed: int, overload: api.OverloadControl | None = None) -> None:
-        self.overload_control = overload or api.OverloadControl()  # inert if none
-        self.now = self.v = 0  # `v` is the paper's virtual time
+        self.overload_control = overload or api.OverloadControl()  # the default does nothing
+        self.now = self.v = 0  # `v`: the virtual time of the paper
         self.v_updated_ns: int | None = None
         self.destinations: dict[int, Destination] = {}
-        self.active: dict[int, Destination] = {}  # those with a message held or a call in flight, by order
-        self.running: dict[int, Call] = {}  # calls in flight by slot, in the order sent
+        self.active: dict[int, Destination] = {}  # with queued messages or calls in flight, by `order`
+        self.running: dict[int, Call] = {}  # calls in flight by slot, in sending order
         self.endpoints: dict[int, Endpoint] = {}
         self.held: dict[str, Message] = {}
-        self.unacknowledged: dict[str, Message] = {}  # with a key, their final answer still on its way
+        self.unacknowledged: dict[str, Message] = {}  # keyed, final answer not yet acknowledged
         self.key_queues: dict[int, deque[Message]] = {}
-        self.key_rests_ns: dict[int, int] = {}  # until when no first attempt of the key may go
+        self.key_paused_until_ns: dict[int, int] = {}  # no first attempt of the key before then
         self.in_flight: dict[tuple[str, int], tuple[Message, Call]] = {}  # by message and attempt
         self.due: list[tuple[int, int, Message | Call | Endpoint]] = []
         self.numbers = count()
@@ -56,15 +59,15 @@
         self.reconfigure(settings)
 
     def reconfigure(self, settings: Settings) -> None:
-        """Decide by other settings from now on; messages held keep the class they were accepted under."""
+        """Apply other settings from now on; held messages keep the class with which they were accepted."""
         self.settings = settings
         self.health.reconfigure(settings)
         self.free_slots = [slot for slot in range(settings.slots) if slot not in self.running]
-        self.max_window = max(1, -(-3 * settings.slots // 4) - 1)  # strictly under three quarters
+        self.max_window = max(1, -(-3 * settings.slots // 4) - 1)  # less than three quarters of the slots
         self.initial_window = min(max(1, settings.slots // 2), self.max_window)
 
     def handle(self, now: int, events: Iterable[Event]) -> list[Command]:
-        """Handle what happened up to `now`, in order, and return what to do."""
+        """Handle the events up to `now`, in order, and return the resulting commands."""
         self.now = now
         self._advance_virtual_time()
         for event in events:
@@ -140,19 +143,18 @@
         self._recall(endpoint for endpoint in self.endpoints.values() if not endpoint.is_usable)
         for destination in self.destinations.values():
             self._update_presence(destination)
-        self._forget_unlisted()
+        self._remove_unlisted()
 
     def _update_presence(self, destination: Destination) -> None:
-        """Note since when a destination has no endpoint in service; begin its slow start with a new one."""
+        """Track since when a destination has no endpoint in service; a new one begins with a slow start."""
         usable = [endpoint for endpoint in destination.endpoints.values() if endpoint.is_usable]
         if not usable:
             destination.absent_since_ns = destination.absent_since_ns or self.now
         elif destination.absent_since_ns is not None:
             absent_ns = self.now - destination.absent_since_ns
             destination.absent_since_ns = None
-            if all(
-                endpoint.listed_ns == self.now for endpoint in usable
-            ):  # else it was only taken out for a while
+            # An endpoint that was listed before was only out of service for a while.
+            if all(endpoint.listed_ns == self.now for endpoint in usable):
                 self.health.slow_starts.begin(destination.limit, absent_ns, self.now)
 
     def _update_endpoint(self, row: api.EndpointEntry) -> None:
@@ -171,10 +173,10 @@
         endpoint.is_usable = row.status is EndpointStatus.IN_SERVICE
         is_gone = row.status is EndpointStatus.GONE
         if endpoint.is_usable and endpoint.unlisted_ns is not None:
-            endpoint.listed_ns = self.now  # it may have been started anew
+            endpoint.listed_ns = self.now  # it may have been restarted
         endpoint.unlisted_ns = (endpoint.unlisted_ns or self.now) if is_gone else None
-        if row.needs_slow_start:  # put back by hand: nobody knows since when it runs
-            endpoint.slow_start_ns = self.now
+        if row.needs_slow_start:  # returned to service by an operator: its start time is unknown
+            endpoint.slow_start_since_ns = self.now
             self.health.pace(destination, endpoint, self.now)
         if self.settings.listed_rate is not api.ListedRate.NONE:
             endpoint.limit.stated_per_s = row.rating
@@ -186,7 +188,7 @@
         if self.settings.can_recall:
             self.commands.extend(api.RecallAttempts(each.id) for each in endpoints if each.call_count)
 
-    def _forget_unlisted(self) -> None:
+    def _remove_unlisted(self) -> None:
         for endpoint in [each for each in self.endpoints.values() if not each.call_count]:
             if endpoint.unlisted_ns is not None and self.now - endpoint.unlisted_ns > self.settings.cold_ns:
                 del self.endpoints[endpoint.id]
@@ -194,10 +196,11 @@
                     destination.endpoints.pop(endpoint.id, None)
         for destination in list(self.destinations.values()):
             if not destination.endpoints and destination.order not in self.active:
-                del self.destinations[destination.id]  # also one in use when its last endpoint was dropped
+                # This includes one that was still active when its last endpoint was removed.
+                del self.destinations[destination.id]
 
-    def _call_at(self, when_ns: int, what: Message | Call | Endpoint) -> None:
-        heappush(self.due, (when_ns, next(self.numbers), what))
+    def _schedule(self, due_ns: int, item: Message | Call | Endpoint) -> None:
+        heappush(self.due, (due_ns, next(self.numbers), item))
 
     def _accept(self, event: api.MessageArrived, attempts: int = 0) -> Message:
         # An unknown class gets the defaults, which are the safest.
@@ -212,7 +215,7 @@
         self._enqueue(message)
         if message.key is not None:
             self.key_queues.setdefault(message.key, deque()).append(message)
-        self._call_at(deadline_ns - 2 * self.settings.step_ns, message)
+        self._schedule(deadline_ns - 2 * self.settings.step_ns, message)
         return message
 
     def _recover(self, event: api.MessageRecovered) -> None:
@@ -222,9 +225,9 @@
                 self.now - event.executed_ago_ns,
                 event.executed_zone,
             )
-            self._call_at(message.last_send_ns(self.settings), message)
+            self._schedule(message.last_send_ns(self.settings), message)
         if event.was_in_flight and message.key is not None:
-            self.key_rests_ns[message.key] = self.now + self.settings.key_rest_ns
+            self.key_paused_until_ns[message.key] = self.now + self.settings.key_rest_ns
         if event.is_completed:
             self._close(message, has_notification=True)
 
@@ -249,14 +252,15 @@
                 if not queue:
                     del self.key_queues[message.key]
 
-    def _give_up(self, message: Message) -> None:
+    def _reject_or_fail(self, message: Message) -> None:
         cls, ran_ns, now = message.message_class, message.maybe_ran_ns, self.now
-        is_dropped = cls.effect is Effect.KEYED and not cls.dedup_per_zone  # a repeat, within its window
+        # Whether a retry within the deduplication window is deduplicated.
+        is_deduplicated = cls.effect is Effect.KEYED and not cls.dedup_per_zone
         remaining_ns = (
-            message.last_send_ns(self.settings) - now if ran_ns is not None and is_dropped else None
+            message.last_send_ns(self.settings) - now if ran_ns is not None and is_deduplicated else None
         )
         rejection = None
-        if is_dropped or cls.effect is Effect.REPEATABLE or (ran_ns is None and not message.in_flight):
+        if is_deduplicated or cls.effect is Effect.REPEATABLE or (ran_ns is None and not message.in_flight):
             default_ns, destination = self.settings.max_retry_after_ns, message.destination.id
             rejection = self.overload_control.reject_held(
                 now, destination, message.id, default_ns, remaining_ns
@@ -271,17 +275,19 @@
             return
         message.in_flight.pop(event.attempt, None)
         call.members.pop(message.id, None)
-        self._judge(event, call)
+        self._record_outcome(event, call)
         if not call.members:
-            self._settle(call)
+            self._release_call(call)
         outcome = event.outcome
         if message.key is not None and outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
-            if len(self.key_rests_ns) > self.settings.max_held:
-                self.key_rests_ns = {key: at for key, at in self.key_rests_ns.items() if at > self.now}
-            self.key_rests_ns[message.key] = self.now + self.settings.key_rest_ns
+            if len(self.key_paused_until_ns) > self.settings.max_held:
+                self.key_paused_until_ns = {
+                    key: at for key, at in self.key_paused_until_ns.items() if at > self.now
+                }
+            self.key_paused_until_ns[message.key] = self.now + self.settings.key_rest_ns
         if outcome not in NEVER_RAN and outcome is not Outcome.DELIVERED and message.maybe_ran_ns is None:
             message.maybe_ran_ns, message.maybe_ran_zone = call.sent_ns, call.endpoint.zone
-            self._call_at(message.last_send_ns(self.settings), message)
+            self._schedule(message.last_send_ns(self.settings), message)
         if event.is_final or message.is_completed:
             if not message.is_completed:
                 self._close(message)
@@ -291,43 +297,45 @@
             message.unanswered_ns = call.sent_ns if is_unanswered else NEVER
             message.last_endpoint = call.endpoint
             if message.is_exhausted(self.settings, self.now):
-                self._give_up(message)
+                self._reject_or_fail(message)
             else:
                 self._enqueue(message)
 
-    def _judge(self, event: api.AttemptCompleted, call: Call) -> None:
+    def _record_outcome(self, event: api.AttemptCompleted, call: Call) -> None:
         limit, now = call.endpoint.limit, self.now
         if event.limit_rate:
             limit.stated_per_s = event.limit_rate
-            if event.limit_remaining is not None:  # less than a call is left of the allowance: let it fill up
-                lack = 1 - event.limit_remaining * event.limit_rate
-                limit.next_call_ns = max(limit.next_call_ns, now + int(lack / event.limit_rate * SECOND))
-        if event.wait_ns:  # a delivered call may tell one too
+            if event.limit_remaining is not None:  # less than one call remains: wait until it is refilled
+                missing_calls = 1 - event.limit_remaining * event.limit_rate
+                limit.next_call_ns = max(
+                    limit.next_call_ns, now + int(missing_calls / event.limit_rate * SECOND)
+                )
+        if event.wait_ns:  # the response to a delivered call may request a wait, too
             limit.retry_after_ns = max(limit.retry_after_ns, now + event.wait_ns)
             self._recall(each for each in call.destination.endpoints.values() if each.limit is limit)
-        if call.is_judged or event.outcome is Outcome.NOT_SENT:
+        if call.is_outcome_recorded or event.outcome is Outcome.NOT_SENT:
             return
-        call.is_judged = True
-        took_ns, outcome = now - call.sent_ns, event.outcome
-        self.overload_control.call_ended(now, call.destination.id, outcome, took_ns, event.wait_ns)
+        call.is_outcome_recorded = True
+        duration_ns, outcome = now - call.sent_ns, event.outcome
+        self.overload_control.call_ended(now, call.destination.id, outcome, duration_ns, event.wait_ns)
         if outcome is Outcome.DELIVERED:
-            self._record_success(call, took_ns)
+            self._record_success(call, duration_ns)
         else:
-            self._record_failure(call, event, took_ns)
+            self._record_failure(call, event, duration_ns)
 
-    def _record_success(self, call: Call, took_ns: int) -> None:
+    def _record_success(self, call: Call, duration_ns: int) -> None:
         destination = call.destination
-        self.health.record_success(call.endpoint, call, took_ns, self.now)
+        self.health.record_success(call.endpoint, call, duration_ns, self.now)
         destination.retry_tokens = min(RETRY_BURST, destination.retry_tokens + RETRY_SHARE)
-        destination.rejected_ns, destination.next_call_ns = None, 0
+        destination.rejected_since_ns, destination.next_call_ns = None, 0
         mean = destination.latency_ns
-        destination.latency_ns = mean + (took_ns - mean) / SMOOTHING if mean else float(took_ns)
+        destination.latency_ns = mean + (duration_ns - mean) / SMOOTHING if mean else float(duration_ns)
         destination.best_latency_ns = min(destination.best_latency_ns or NEVER, destination.latency_ns)
-        is_quick = took_ns <= GROWS_WITHIN * destination.best_latency_ns
+        is_quick = duration_ns <= WINDOW_GROWTH_MULTIPLE * destination.best_latency_ns
         step, most = (1, self.max_window) if is_quick else (0, self.initial_window)
         destination.window = min(destination.window + step, most)
 
-    def _record_failure(self, call: Call, event: api.AttemptCompleted, took_ns: int) -> None:
+    def _record_failure(self, call: Call, event: api.AttemptCompleted, duration_ns: int) -> None:
         destination, endpoint, outcome = call.destination, call.endpoint, event.outcome
         is_lost = outcome in (Outcome.CANCELLED, Outcome.TIMEOUT) and call.is_overdue
         if is_lost and endpoint.success_sent_ns > call.sent_ns:
@@ -336,7 +344,11 @@
             endpoint.never_ran, endpoint.is_silent = outcome in NEVER_RAN, outcome is Outcome.TIMEOUT
             destination.window = min(destination.window, self.initial_window)
         never_connected = outcome is Outcome.CONNECT_FAILED
-        if never_connected and took_ns < self.settings.connect_timeout_ns and endpoint.suspected_ns is None:
+        if (
+            never_connected
+            and duration_ns < self.settings.connect_timeout_ns
+            and endpoint.suspected_since_ns is None
+        ):
             self.health.record_failed_handshake(call, self.now)
         if outcome is Outcome.FULL:
             self.health.record_rejection(call, event.wait_ns, self.now)
@@ -349,18 +361,18 @@
             kind = _FAILURE_KINDS.get(outcome, FailureKind.FAILED)
             self.health.confirm_failure(call, kind, self.now)
 
-    def _settle(self, call: Call) -> None:
-        destination, endpoint, took_ns = call.destination, call.endpoint, self.now - call.sent_ns
-        destination.start_tag += took_ns - call.charged_ns
+    def _release_call(self, call: Call) -> None:
+        destination, endpoint, duration_ns = call.destination, call.endpoint, self.now - call.sent_ns
+        destination.start_tag += duration_ns - call.charged_ns
         name = call.message_class.name
-        destination.costs_ns[name] = max(int(ALPHA * destination.costs_ns[name]), took_ns)
+        destination.costs_ns[name] = max(int(ALPHA * destination.costs_ns[name]), duration_ns)
         destination.call_count -= 1
         self.overload_control.call_settled(self.now, destination.id, call.retry_count)
         endpoint.call_count -= 1
         if endpoint.call_count % self.settings.calls_per_connection == 0 and not call.is_withdrawn:
             endpoint.idle_since_ns.append(self.now)
             if endpoint.kind in self.health.max_idle_by_kind:
-                self._call_at(self.now + self.health.max_idle_ns(endpoint.kind, self.now), endpoint)
+                self._schedule(self.now + self.health.max_idle_ns(endpoint.kind, self.now), endpoint)
         if call.slot < self.settings.slots:
             insort(self.free_slots, call.slot)
         del self.running[call.slot]
@@ -378,7 +390,7 @@
             if self.key_queues[message.key][0] is not message:
                 return False
             if message.attempt_count == 0:
-                ready_ns = self.key_rests_ns.get(message.key, 0)
+                ready_ns = self.key_paused_until_ns.get(message.key, 0)
         if ready_ns > now:
             self.wake_ns = min(self.wake_ns, ready_ns)
         return ready_ns <= now
@@ -396,7 +408,10 @@
     def _preference(self, endpoint: Endpoint) -> tuple[bool, bool, float, int]:
         is_idle = any(self.now - at_ns < self.settings.keepalive_ns for at_ns in endpoint.idle_since_ns)
         is_warm = is_idle or endpoint.call_count % self.settings.calls_per_connection > 0
-        is_suspected, cost = endpoint.suspected_ns is not None, endpoint.fee * SECOND + endpoint.latency_ns
+        is_suspected, cost = (
+            endpoint.suspected_since_ns is not None,
+            endpoint.fee * SECOND + endpoint.latency_ns,
+        )
         return is_suspected, not is_warm, cost, endpoint.id
 
     def _pick(self, destination: Destination, used: set[int]) -> tuple[Message, Endpoint] | None:
@@ -420,9 +435,9 @@
 
     def _pick_message(self, queue: list[Message], ready: list[Endpoint]) -> tuple[Message, Endpoint] | None:
         is_trial = all(endpoint.is_open for endpoint in ready)
-        best, best_rank = None, (len(RISK), (True, 0.0, NEVER))
+        best, best_rank = None, (len(EFFECT_RISK), (True, 0.0, NEVER))
         for message in queue:
-            rank = (RISK[message.message_class.effect] if is_trial else 0, self._rank(message))
+            rank = (EFFECT_RISK[message.message_class.effect] if is_trial else 0, self._rank(message))
             if rank < best_rank and self._may_be_sent(message):
                 for endpoint in ready:
                     is_repeat = endpoint is message.last_endpoint and len(ready) > 1
@@ -432,7 +447,7 @@
         return best
 
     def _dispatch(self) -> None:
-        """Each free slot, highest first, sends for the eligible destination with the smallest finish tag."""
+        """Fill free slots, highest first, each from the eligible destination with the smallest finish tag."""
         self.wake_ns = NEVER
         n, used = self.settings.slots, set[int]()
         picks = {d.order: (d, pick) for d in self.active.values() if (pick := self._pick(d, used))}
@@ -440,7 +455,7 @@
             slot = self.free_slots[-1]
             costs = {order: d.l_max(pick[0].message_class) for order, (d, pick) in picks.items()}
             starts = {order: d.start_tag * n - slot * costs[order] for order, (d, _) in picks.items()}
-            if min(starts.values()) >= self.v * n:  # v jumps: no slot idles while a window has room
+            if min(starts.values()) >= self.v * n:  # advance v: no slot stays idle while a window has room
                 self.v = min(starts.values()) // n + 1
             eligible = [order for order, start in starts.items() if start < self.v * n]
             _, order = min((picks[order][0].start_tag + costs[order], order) for order in eligible)
@@ -471,26 +486,30 @@
         self.health.reserve_connection(call, now)
         endpoint.call_count += 1
         for message in messages:
-            until_ns = message.abandon_ns(self.health.overdue_after_ns(endpoint, message.message_class), now)
+            abandon_at_ns = message.abandon_at_ns(
+                self.health.overdue_after_ns(endpoint, message.message_class), now
+            )
             is_keyed, has_run = message.message_class.effect is Effect.KEYED, message.maybe_ran_ns is not None
             send_before_ns = message.last_send_ns(self.settings) if is_keyed and has_run else 0
             pacing = self.health.pacing(endpoint)
-            self.commands.append(api.StartAttempt(message.id, endpoint.id, until_ns, send_before_ns, pacing))
+            self.commands.append(
+                api.StartAttempt(message.id, endpoint.id, abandon_at_ns, send_before_ns, pacing)
+            )
         limit = endpoint.limit
         if limit.slow_start.is_paced:
             self.health.slow_starts.record_call(limit, len(messages), now)
-        elif endpoint.slow_start_ns is not None and endpoint.suspected_ns is None:
+        elif endpoint.slow_start_since_ns is not None and endpoint.suspected_since_ns is None:
             self.health.pace(destination, endpoint, now)
-        limit.recent_ns.append(now)
-        while limit.recent_ns[0] <= now - SECOND:
-            limit.recent_ns.popleft()
+        limit.recent_sends_ns.append(now)
+        while limit.recent_sends_ns[0] <= now - SECOND:
+            limit.recent_sends_ns.popleft()
         if limit.learned_per_s:
             limit.next_call_ns = max(limit.next_call_ns, now) + int(SECOND / limit.learned_per_s)
-        self._call_at(now + self.health.overdue_after_ns(endpoint, cls), call)
+        self._schedule(now + self.health.overdue_after_ns(endpoint, cls), call)
 
     def _batch(self, first: Message, endpoint: Endpoint) -> list[Message]:
         if endpoint.max_batch == 1 or (endpoint.is_open and not endpoint.never_ran):
-            return [first]  # a trial risks one, if it may fail having run
+            return [first]  # a trial risks one message only, if it may fail after execution
         queue = [each for each in sorted(first.destination.queue, key=self._rank) if each is not first]
         others = [each for each in queue if self._may_be_sent(each)]
         others = [each for each in others if each.is_safe_at(endpoint, self.settings, self.now)]
@@ -498,25 +517,25 @@
 
     def _run_due(self) -> None:
         while self.due and self.due[0][0] <= self.now:
-            _, _, what = heappop(self.due)
-            if isinstance(what, Message):
-                is_exhausted = not what.in_flight and what.is_exhausted(self.settings, self.now)
-                if not what.is_completed and (is_exhausted or what.is_late(self.settings, self.now)):
-                    self._give_up(what)
-            elif isinstance(what, Endpoint):
-                max_idle_ns = self.health.max_idle_ns(what.kind, self.now)
-                if what.idle_since_ns and self.now - what.idle_since_ns[0] >= max_idle_ns:
-                    self.health.close_idle_connections(what)
-            elif what.members and not what.is_judged:
-                self._handle_overdue(what)
+            _, _, item = heappop(self.due)
+            if isinstance(item, Message):
+                is_exhausted = not item.in_flight and item.is_exhausted(self.settings, self.now)
+                if not item.is_completed and (is_exhausted or item.is_late(self.settings, self.now)):
+                    self._reject_or_fail(item)
+            elif isinstance(item, Endpoint):
+                max_idle_ns = self.health.max_idle_ns(item.kind, self.now)
+                if item.idle_since_ns and self.now - item.idle_since_ns[0] >= max_idle_ns:
+                    self.health.close_idle_connections(item)
+            elif item.members and not item.is_outcome_recorded:
+                self._handle_overdue(item)
 
     def _handle_overdue(self, call: Call) -> None:
         endpoint, destination = call.endpoint, call.destination
         endpoint.never_ran, endpoint.is_silent = False, True
         due_ns = self.health.overdue_after_ns(endpoint, call.message_class)
         if not call.is_overdue:
-            self.health.close_idle_connections(endpoint)  # a fresh connection tells more
-        if endpoint.success_sent_ns > call.sent_ns:  # it is lost on its way, not held up by the endpoint
+            self.health.close_idle_connections(endpoint)  # a new connection gives better evidence
+        if endpoint.success_sent_ns > call.sent_ns:  # lost in transit, not delayed by the endpoint
             self.health.record_lost_call(call, self.now)
             if not call.is_overdue:
                 endpoint.loss_ratio += (1 - endpoint.loss_ratio) / SMOOTHING
@@ -524,30 +543,30 @@
             self.health.record_failure(call, self.now, FailureKind.OVERDUE, is_error=False)
         call.is_overdue = True
         destination.window = min(destination.window, self.initial_window)
-        if self.settings.can_cancel and not call.is_withdrawn and self._is_given_up(call, due_ns):
+        if self.settings.can_cancel and not call.is_withdrawn and self._should_withdraw(call, due_ns):
             call.is_withdrawn = True
             self.commands.extend(api.CancelAttempt(id_, number) for id_, (_, number) in call.members.items())
-        self._call_at(self.now + due_ns, call)
+        self._schedule(self.now + due_ns, call)
 
-    def _is_given_up(self, call: Call, due_ns: int) -> bool:
-        """Whether to wait no longer; where there may be more, each attempt has twice the time of the last."""
-        endpoint, took_ns = call.endpoint, self.now - call.sent_ns
+    def _should_withdraw(self, call: Call, due_ns: int) -> bool:
+        """Return whether to withdraw an overdue call; if retriable, the limit doubles with each attempt."""
+        endpoint, duration_ns = call.endpoint, self.now - call.sent_ns
         if call.message_class.effect is not Effect.ONCE:
             doublings = max(message.attempt_count for message, _ in call.members.values())
             if endpoint.loss_ratio > MIN_LOSS_RATIO:
                 doublings = (doublings - 1) // 2
             elif endpoint.success_sent_ns > call.sent_ns:
                 doublings -= 1
-            return took_ns >= due_ns << doublings
-        if took_ns < STUCK * due_ns:
+            return duration_ns >= due_ns << doublings
+        if duration_ns < STUCK_MULTIPLE * due_ns:
             return False
         queues = [self.key_queues[each.key] for each, _ in call.members.values() if each.key is not None]
         return bool(call.destination.queue) or not self.free_slots or any(len(queue) > 1 for queue in queues)
 
     def _shed_load(self) -> None:
-        spare = max(1, self.settings.max_held // RESERVED_PART)
+        spare = max(1, self.settings.max_held // RESERVED_CAPACITY_DIVISOR)
         while len(self.held) > self.settings.max_held - spare:
             longest = max(self.active.values(), key=lambda d: (len(d.queue), -d.order), default=None)
             if longest is None or not longest.queue:
                 return
-            self._give_up(max(longest.queue, key=self._rank))
+            self._reject_or_fail(max(longest.queue, key=self._rank))
--- a/winchspan/storage/errors.py
+++ b/winchspan/storage/errors.py
@@ -6,7 +6,7 @@
 
 
 class StorageError(Exception):
-    """Base of the errors that storage raises besides OSError."""
+    """Base of the errors of the storage layer, besides OSError."""
 
 
 class JournalFullError(StorageError):
@@ -14,7 +14,7 @@
 
 
 class RecordWriteError(StorageError):
-    """The disk did not take some records; the file ends where it did before the call."""
+    """Records could not be written; the file contains the same records as before the call."""
 
     def __init__(self, path: Path, reason: OSError) -> None:
         super().__init__(f"{path.name}: {reason}")
--- a/winchspan/storage/journal.py
+++ b/winchspan/storage/journal.py
@@ -1,10 +1,11 @@
-"""The write-ahead journal: each message as it is accepted, each attempt before it starts, each completion.
+"""The write-ahead journal of accepted messages, attempts and completions.
 
-Records are written before what they announce happens (`accept`, `record_attempt_started`) or as soon as the
-disk takes them (all others); after a restart the open messages are what was accepted and not completed.
+Records of acceptance and of the start of an attempt are written before the event that they describe
+(`accept`, `record_attempt_started`). All others are written as soon as the disk accepts them. After a
+restart, the open messages are the accepted ones that are not completed.
 
     winchspan.storage.journal_records   the kinds of records and their encoding
-    winchspan.storage.journal_state     the open messages that the records add up to
+    winchspan.storage.journal_state     the open messages as the result of all records
     winchspan.storage.message_log       recovery, appending, backlog, compaction
     winchspan.storage.quota             the size limit of the directory
     winchspan.storage.rotating_file     the two files that alternate
@@ -22,7 +23,7 @@
 from winchspan.runtime.system import Disk
 from winchspan.storage.errors import JournalFullError
 from winchspan.storage.journal_records import (
-    AttemptReturned,
+    AttemptEnded,
     AttemptStarted,
     ClassTableDefined,
     ClockAnchored,
@@ -32,62 +33,62 @@
     LastAttemptRecorded,
     MessageAccepted,
     MessagesCompleted,
-    NotificationOwed,
+    NotificationPending,
     OutageRecorded,
     WorkEpochStarted,
     WorkOrigin,
 )
 from winchspan.storage.message_log import MessageLog
 
-_CLOCK_STEP_LOGGED_MS: Final = 1_000.0
+_MIN_LOGGED_CLOCK_STEP_MS: Final = 1_000.0
 
 
 class Journal(MessageLog):
-    """The journal of this courier's work."""
+    """The journal of the messages that this courier has accepted or taken over."""
 
     def __init__(self, directory: Path, limit_bytes: int, disk: Disk | None = None) -> None:
-        # Called with each message that is completed, while it is still in the table.
+        # Called with each message that is completed, before it is removed.
         self.on_message_completed: Callable[[JournalEntry], None] | None = None
         super().__init__(directory, limit_bytes, disk)
 
     @property
     def last_attempt_at_ms(self) -> float:
-        """When the latest attempt began, Unix ms; 0: none is known of."""
+        """Start of the latest attempt, in Unix ms; 0 if none is known."""
         return self._state.last_attempt_at_ms
 
     @property
     def work_epoch(self) -> int:
-        """The epoch under which this courier's work is its own; 0: none is needed."""
+        """The epoch under which this courier owns its journal; 0 if none is needed."""
         return self._state.work_epoch
 
     def get(self, number: int) -> JournalEntry | None:
-        """The open message of a number."""
+        """Return the open message with a number."""
         return self._state.messages.get(number)
 
     def anchor_clock(self, clock: Clock) -> None:
-        """Let `Clock.lasting` go on as the records of this boot have it, or record it for later restarts.
+        """Continue the persistent clock of this boot's earlier processes, or record it for later restarts.
 
-        A wall clock that was set between two processes would otherwise move the deadlines of what the first
-        left behind, and let messages that may have executed be sent again after their deduplication window.
+        Otherwise, setting the wall clock between two processes would move the deadlines of recovered
+        messages, and a message that may have executed could be sent again after its deduplication window.
         """
         anchor = self._state.clock_anchor
         if anchor is not None and clock.boot_id and anchor.boot_id == clock.boot_id:
-            step_ms = clock.persistent_offset_ms - anchor.ahead_ms
-            if abs(step_ms) > _CLOCK_STEP_LOGGED_MS:
+            step_ms = clock.persistent_offset_ms - anchor.offset_ms
+            if abs(step_ms) > _MIN_LOGGED_CLOCK_STEP_MS:
                 logger.warning(
-                    "journal: the wall clock was set by {:.1f} s since this boot's first start",
+                    "journal: the wall clock was set by {:.1f} s since the first start in this boot",
                     step_ms / 1_000.0,
                 )
-            clock.persistent_offset_ms = anchor.ahead_ms
+            clock.persistent_offset_ms = anchor.offset_ms
             return
         if self.last_attempt_at_ms > clock.persistent_unix_ms():
-            # A new boot whose wall clock stands before the last attempt: that is the least that it must be.
+            # After a reboot the time must be at least that of the last attempt: the wall clock is behind it.
             behind_ms = self.last_attempt_at_ms - clock.persistent_unix_ms()
             logger.warning("journal: the wall clock is {:.1f} s before the last attempt", behind_ms / 1_000.0)
             clock.persistent_offset_ms += self.last_attempt_at_ms - clock.persistent_unix_ms()
         if clock.boot_id:
             self._state.clock_anchor = ClockAnchored(clock.boot_id, clock.persistent_offset_ms)
-            self._append_or_owe(self._state.clock_anchor.encode())
+            self._append_or_defer(self._state.clock_anchor.encode())
 
     # ---- messages ----------------------------------------------------------------------------------------
     def accept(
@@ -102,13 +103,13 @@
         redelivery_of: int = 0,
         first_executed_at_ms: float | None = None,
     ) -> int:
-        """Record that a message is accepted.
+        """Record the acceptance of a message.
 
         Returns:
             Its number.
 
         Raises:
-            JournalFullError: there is no capacity for it, and it is not accepted.
+            JournalFullError: there is no capacity for the message; it must not be accepted.
         """
         entry = JournalEntry(
             number=self._state.next_number,
@@ -128,12 +129,12 @@
         return entry.number
 
     def take_over(self, entry: JournalEntry, owner: str, epoch: int) -> int | None:
-        """Record an open message of another courier's work as it stands there.
+        """Record an open message that is taken over from another courier.
 
         Args:
-            entry: as the replica of that work has it; it is changed into this journal's.
-            owner: whose work it was.
-            epoch: under which it is taken over.
+            entry: the message's entry in the replica; it becomes an entry of this journal.
+            owner: the courier that it is taken over from.
+            epoch: the epoch of the takeover.
 
         Returns:
             Its number here, or None if there is no capacity for it.
@@ -145,82 +146,82 @@
         return entry.number if self._add(entry) else None
 
     def record_attempt_started(self, numbers: list[int], endpoint: str, zone: str, at_ms: float) -> bool:
-        """Record an attempt of some messages, before its bytes are sent.
+        """Record an attempt that carries some messages, before its first byte is sent.
 
         Returns:
-            Whether it is recorded; if not, it must not start.
+            Whether the attempt is recorded; if not, it must not start.
         """
         record = AttemptStarted(numbers, at_ms, endpoint, zone)
         if not self._append(record.encode()):
             return False
-        self._state.last_attempt_at_ms = at_ms  # even if the clock has gone back
+        self._state.last_attempt_at_ms = at_ms  # even if the clock was set back
         self._state.start_attempt(record)
         return True
 
-    def record_attempt_returned(self, numbers: list[int], may_have_executed: bool) -> None:
-        """Record that an attempt is over, and whether it may have executed."""
-        record = AttemptReturned(numbers, may_have_executed)
-        self._append_or_owe(record.encode())
-        self._state.return_attempt(record)
+    def record_attempt_ended(self, numbers: list[int], may_have_executed: bool) -> None:
+        """Record the end of an attempt, and whether it may have executed."""
+        record = AttemptEnded(numbers, may_have_executed)
+        self._append_or_defer(record.encode())
+        self._state.end_attempt(record)
 
-    def record_notification_owed(
+    def record_notification_pending(
         self,
         number: int,
         outcome: str,
         retry_after_ms: int,
         failure_history: dict[str, Any] | None = None,
     ) -> None:
-        """Record the outcome to notify the platform of; its history only where there is capacity for it."""
-        record = NotificationOwed(number, outcome, retry_after_ms, failure_history)
+        """Record the outcome to notify the platform of, with the history if there is capacity for it."""
+        record = NotificationPending(number, outcome, retry_after_ms, failure_history)
         if failure_history is None or not self._append(record.encode()):
-            record = NotificationOwed(number, outcome, retry_after_ms)
-            self._append_or_owe(record.encode())
-        self._state.owe_notification(record)
+            record = NotificationPending(number, outcome, retry_after_ms)
+            self._append_or_defer(record.encode())
+        self._state.set_pending_notification(record)
 
     def record_completed(self, numbers: list[int]) -> None:
-        """Record that nothing more is owed for some messages."""
+        """Record that some messages are completed."""
         if self.on_message_completed is not None:
             for number in numbers:
                 entry = self._state.messages.get(number)
                 if entry is not None:
                     self.on_message_completed(entry)
         record = MessagesCompleted(numbers)
-        self._append_or_owe(record.encode())
+        self._append_or_defer(record.encode())
         self._state.complete_messages(record)
 
     # ---- settings ----------------------------------------------------------------------------------------
     def record_classes(self, rows: list[dict[str, Any]]) -> None:
-        """Record the classes under which messages are accepted from now on, unless they are the current."""
+        """Record the classes under which messages are accepted from now on, if they have changed."""
         state = self._state
         if state.class_tables.get(state.current_class_table) == rows:
             return
         number = max(state.class_tables, default=0) + 1
         state.class_tables[number] = rows
         state.current_class_table = number
-        self._append_or_owe(ClassTableDefined(number, rows).encode())
+        self._append_or_defer(ClassTableDefined(number, rows).encode())
 
     def record_work_epoch(self, epoch: int) -> None:
-        """Record under which epoch this courier's work is its own."""
+        """Record the epoch under which this courier owns its journal."""
         self._state.work_epoch = epoch
-        self._append_or_owe(WorkEpochStarted(epoch).encode())
+        self._append_or_defer(WorkEpochStarted(epoch).encode())
 
     @property
     def outages(self) -> list[OutageRecorded]:
-        """The destinations that were held to be out, or in a slow start."""
+        """The latest outage record of each destination that is in an outage or in slow start."""
         return list(self._state.outages.values())
 
     def record_outage(self, record: OutageRecorded) -> None:
-        """Record what a destination is held to be from now on."""
+        """Record a destination's new outage phase."""
         self._state.set_outage(record)
-        self._append_or_owe(record.encode())
+        self._append_or_defer(record.encode())
 
     def record_disabled_endpoints(self, names: list[str]) -> None:
         """Record the names of all endpoints that the operators have disabled."""
         self._state.disabled_endpoints = names
-        self._append_or_owe(EndpointsDisabled(names).encode())
+        self._append_or_defer(EndpointsDisabled(names).encode())
 
     def snapshot_records(self) -> list[bytes]:
-        """Encode all that is open now, and the settings that hold for it, for a replica."""
+        """Encode all open messages and the settings that apply to them, for a replica."""
         state = self._state
         records: list[JournalRecord] = []
         if state.last_attempt_at_ms:
--- a/winchspan/storage/journal_records.py
+++ b/winchspan/storage/journal_records.py
@@ -1,16 +1,16 @@
 """Codec of the journal's records.
 
-Each is a record of `winchspan.storage.record_file` whose JSON object names its kind under `t`. Keys stand in
-the order given here, without spaces; numbers of messages are those of their acceptance. `[...]` marks keys
-that are left out where they say nothing, `{...}` those that stand together.
+Each record has the format of `winchspan.storage.record_file`; the key `t` of its JSON object names its kind.
+Keys are written in the order given here, without spaces. Messages are numbered in the order of their
+acceptance. `[...]` marks keys that are omitted at their default value, `{...}` keys that occur together.
 
     t        keys                                        type
-    taken    n id c k d until token [v] [resend]         MessageAccepted; the body is the message's
+    taken    n id c k d until token [v] [resend]         MessageAccepted; with the message's body
              [origin] {tries out out_zone ran ran_zone}
              {notice after [story]}
     started  n at to zone                                AttemptStarted
-    back     n ran                                       AttemptReturned
-    notice   n state after [story]                       NotificationOwed
+    back     n ran                                       AttemptEnded
+    notice   n state after [story]                       NotificationPending
     end      n                                           MessagesCompleted
     classes  v rows                                      ClassTableDefined
     offline  names                                       EndpointsDisabled
@@ -19,7 +19,7 @@
     last     at                                          LastAttemptRecorded
     outage   d phase at rate                             OutageRecorded
 
-Records of any other kind are skipped. All of this is read and written by every version: it never changes.
+Records of any other kind are skipped. The format never changes: every version reads and writes it.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class WorkOrigin(NamedTuple):
-    """Whose work a message was before this courier took it over, and under which epoch."""
+    """The courier that a message was taken over from, and the epoch of the takeover."""
 
     owner: str
     epoch: int
@@ -39,38 +39,40 @@
 
 @dataclass(slots=True)
 class JournalEntry:
-    """An open message as the journal knows it; all times are Unix milliseconds of `Clock.lasting`."""
+    """An open message in the journal; all times are in ms of `Clock.persistent_unix_ms`."""
 
     number: int  # the order of acceptance
     id: str
     class_name: str
-    key: int | None  # of per-key ordering
+    key: int | None  # ordering key
     destination: int
     deadline_ms: float
     idempotency_key: str  # passed on unchanged
     body: bytes
     attempt_count: int = 0
-    in_flight_since_ms: float | None = None  # start of the attempt in flight
+    in_flight_since_ms: float | None = None  # start of the attempt in flight; None if there is none
     in_flight_zone: str = ""
-    first_executed_at_ms: float | None = None  # start of the first attempt that may have executed
+    first_executed_at_ms: float | None = (
+        None  # start of the first attempt that may have executed; None if there is none
+    )
     first_executed_zone: str = ""
-    owed_notification: str | None = None  # the outcome that the platform is to be notified of
+    pending_notification: str | None = None  # outcome that the platform must still be notified of
     retry_after_ms: int = 0
-    redelivery_of: int = 0  # number of the dead letter that this message delivers again; 0: none
-    failure_history: dict[str, Any] | None = None  # for whoever keeps undelivered messages
-    class_table: int = 0  # number of the class table that it was accepted under; 0: not known
-    size_bytes: int = 0  # of its record in a compacted file
-    origin: WorkOrigin | None = None  # if it was taken over from another courier
+    redelivery_of: int = 0  # number of the dead letter that this message redelivers; 0 if none
+    failure_history: dict[str, Any] | None = None  # for the dead-letter store
+    class_table: int = 0  # number of the class table that it was accepted under; 0 if unknown
+    size_bytes: int = 0  # size of its record in a compacted file
+    origin: WorkOrigin | None = None  # None unless it was taken over from another courier
 
 
 @dataclass(slots=True)
 class MessageAccepted:
-    """A message is open, as it stands."""
+    """A message is open; the record contains its complete state."""
 
     entry: JournalEntry
 
     def encode(self) -> bytes:
-        """Encode the record; keys that say nothing are left out."""
+        """Encode the record; keys at their default value are omitted."""
         entry = self.entry
         fields: dict[str, Any] = {
             "t": "taken",
@@ -94,8 +96,8 @@
             fields["out_zone"] = entry.in_flight_zone
             fields["ran"] = entry.first_executed_at_ms
             fields["ran_zone"] = entry.first_executed_zone
-        if entry.owed_notification is not None:
-            fields["notice"] = entry.owed_notification
+        if entry.pending_notification is not None:
+            fields["notice"] = entry.pending_notification
             fields["after"] = entry.retry_after_ms
             if entry.failure_history is not None:
                 fields["story"] = entry.failure_history
@@ -104,7 +106,7 @@
 
 @dataclass(slots=True)
 class AttemptStarted:
-    """An attempt carries some messages to an endpoint; on disk before its first byte is sent."""
+    """An attempt carries some messages to an endpoint; written before its first byte is sent."""
 
     numbers: list[int]
     at_ms: float
@@ -119,8 +121,8 @@
 
 
 @dataclass(slots=True)
-class AttemptReturned:
-    """The attempt in flight of some messages is over."""
+class AttemptEnded:
+    """The attempt in flight of some messages has ended."""
 
     numbers: list[int]
     may_have_executed: bool
@@ -131,8 +133,8 @@
 
 
 @dataclass(slots=True)
-class NotificationOwed:
-    """The platform is to be notified of a message's outcome."""
+class NotificationPending:
+    """The platform must be notified of a message's outcome."""
 
     number: int
     outcome: str
@@ -154,7 +156,7 @@
 
 @dataclass(slots=True)
 class MessagesCompleted:
-    """Nothing more is owed for some messages."""
+    """Some messages are completed."""
 
     numbers: list[int]
 
@@ -165,7 +167,7 @@
 
 @dataclass(slots=True)
 class ClassTableDefined:
-    """Messages are accepted under these classes from here on."""
+    """Messages that follow are accepted under these classes."""
 
     number: int
     rows: list[dict[str, Any]]
@@ -177,7 +179,7 @@
 
 @dataclass(slots=True)
 class EndpointsDisabled:
-    """These endpoints, and no others, are disabled by the operators."""
+    """The complete list of endpoints that operators have disabled."""
 
     names: list[str]
 
@@ -188,7 +190,7 @@
 
 @dataclass(slots=True)
 class WorkEpochStarted:
-    """This courier's work is its own under an epoch."""
+    """This courier owns its journal under an epoch."""
 
     epoch: int
 
@@ -199,19 +201,19 @@
 
 @dataclass(slots=True)
 class ClockAnchored:
-    """During a boot, `Clock.lasting` is ahead of `Clock.now` by this much."""
+    """The offset of `Clock.persistent_unix_ms` from `Clock.now`, constant during a boot."""
 
     boot_id: str
-    ahead_ms: float
+    offset_ms: float
 
     def encode(self) -> bytes:
         """Encode the record."""
-        return encode_record({"t": "clock", "boot": self.boot_id, "ahead": self.ahead_ms})
+        return encode_record({"t": "clock", "boot": self.boot_id, "ahead": self.offset_ms})
 
 
 @dataclass(slots=True)
 class LastAttemptRecorded:
-    """When the latest attempt of all began, for compacted files that no longer hold its record."""
+    """The start of the latest attempt, for compacted files that no longer contain its record."""
 
     at_ms: float
 
@@ -222,13 +224,13 @@
 
 @dataclass(slots=True)
 class OutageRecorded:
-    """What a destination is held to be: it outlasts a restart in the middle of an outage.
+    """A destination's outage phase, which must survive a restart in the middle of an outage.
 
     Attributes:
-        destination: its number.
+        destination: the destination's number.
         phase: `outage`, `slow start` or `healthy`.
-        at_ms: since when.
-        calls_per_s: this courier's part of the demand there.
+        at_ms: start of the phase.
+        calls_per_s: this courier's share of the destination's demand.
     """
 
     destination: int
@@ -252,8 +254,8 @@
 JournalRecord = (
     MessageAccepted
     | AttemptStarted
-    | AttemptReturned
-    | NotificationOwed
+    | AttemptEnded
+    | NotificationPending
     | MessagesCompleted
     | ClassTableDefined
     | EndpointsDisabled
@@ -268,14 +270,14 @@
     """Decode a record.
 
     Args:
-        fields: its JSON object.
-        body: what stands behind the object.
+        fields: the record's JSON object.
+        body: the bytes that follow the JSON object.
 
     Returns:
-        The record, or None for a kind that is not a journal's.
+        The record, or None if its kind is not one of a journal.
 
     Raises:
-        KeyError, TypeError, ValueError: the fields are not those of its kind.
+        KeyError, TypeError, ValueError: the fields are invalid for the record's kind.
     """
     match fields["t"]:
         case "taken":
@@ -283,9 +285,9 @@
         case "started":
             return AttemptStarted(fields["n"], fields["at"], fields.get("to", ""), fields["zone"])
         case "back":
-            return AttemptReturned(fields["n"], fields["ran"])
+            return AttemptEnded(fields["n"], fields["ran"])
         case "notice":
-            return NotificationOwed(fields["n"], fields["state"], fields["after"], fields.get("story"))
+            return NotificationPending(fields["n"], fields["state"], fields["after"], fields.get("story"))
         case "end":
             return MessagesCompleted(fields["n"])
         case _:
@@ -293,7 +295,7 @@
 
 
 def _decode_setting(fields: dict[str, Any]) -> JournalRecord | None:
-    """Decode a record that is not of certain messages."""
+    """Decode a record of a setting or of the journal as a whole."""
     match fields["t"]:
         case "classes":
             return ClassTableDefined(int(fields["v"]), list(fields["rows"]))
@@ -328,7 +330,7 @@
         in_flight_zone=fields.get("out_zone", ""),
         first_executed_at_ms=fields.get("ran"),
         first_executed_zone=fields.get("ran_zone", ""),
-        owed_notification=fields.get("notice"),
+        pending_notification=fields.get("notice"),
         retry_after_ms=fields.get("after", 0),
         redelivery_of=fields.get("resend", 0),
         failure_history=fields.get("story"),
--- a/winchspan/storage/journal_state.py
+++ b/winchspan/storage/journal_state.py
@@ -1,4 +1,4 @@
-"""What the records of a journal add up to: the table of open messages, and the settings for them."""
+"""State of a journal as the result of its records: the open messages and their settings."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any, Final
 
 from winchspan.storage.journal_records import (
-    AttemptReturned,
+    AttemptEnded,
     AttemptStarted,
     ClassTableDefined,
     ClockAnchored,
@@ -17,49 +17,49 @@
     LastAttemptRecorded,
     MessageAccepted,
     MessagesCompleted,
-    NotificationOwed,
+    NotificationPending,
     OutageRecorded,
     WorkEpochStarted,
 )
 
-# Upper bounds of what the keys of an attempt and of a notification add to a message's record.
+# Upper bounds on the bytes that an attempt's and a notification's keys add to a message's record.
 _ATTEMPT_KEYS_BYTES: Final = 120
 _NOTIFICATION_KEYS_BYTES: Final = 60
 _HISTORY_KEY_BYTES: Final = 10
-MAX_OUTAGES: Final = 256  # destinations whose outage is kept
+MAX_OUTAGES: Final = 256  # maximum number of destinations with a stored outage
 _HEALTHY: Final = "healthy"
 
 
 @dataclass(slots=True)
 class JournalState:
-    """The open messages with the bytes that they take in a compacted file, and the journal's settings."""
+    """The open messages, the size of a compacted file with them, and the journal's settings."""
 
     messages: dict[int, JournalEntry] = field(default_factory=dict)  # by number
     live_bytes: int = 0  # size of a compacted file
     next_number: int = 1
     class_tables: dict[int, list[dict[str, Any]]] = field(default_factory=dict)  # by number
-    current_class_table: int = 0  # 0: none is defined
+    current_class_table: int = 0  # 0 if none is defined
     disabled_endpoints: list[str] = field(default_factory=list)
-    work_epoch: int = 0  # 0: none is needed
+    work_epoch: int = 0  # 0 if none is needed
     clock_anchor: ClockAnchored | None = None
-    last_attempt_at_ms: float = 0.0  # 0: none is known of
-    outages: dict[int, OutageRecorded] = field(default_factory=dict)  # by destination, the latest last
+    last_attempt_at_ms: float = 0.0  # start in Unix ms; 0 if none is known
+    outages: dict[int, OutageRecorded] = field(default_factory=dict)  # by destination, oldest first
 
     def ordered_messages(self) -> list[JournalEntry]:
-        """The open messages in the order of acceptance."""
+        """Return the open messages in the order of acceptance."""
         return sorted(self.messages.values(), key=lambda entry: entry.number)
 
     def apply(self, record: JournalRecord, size_bytes: int) -> None:
-        """Apply a record that was read from a file, where it takes `size_bytes`."""
+        """Apply a record that was read from a file and has a size of `size_bytes` there."""
         match record:
             case MessageAccepted(entry):
                 self.add_message(entry, size_bytes)
             case AttemptStarted():
                 self.start_attempt(record)
-            case AttemptReturned():
-                self.return_attempt(record)
-            case NotificationOwed():
-                self.owe_notification(record)
+            case AttemptEnded():
+                self.end_attempt(record)
+            case NotificationPending():
+                self.set_pending_notification(record)
             case MessagesCompleted():
                 self.complete_messages(record)
             case _:
@@ -82,7 +82,7 @@
                 self.set_outage(record)
 
     def set_outage(self, record: OutageRecorded) -> None:
-        """Keep what a destination is held to be, unless it is healthy; of too many, forget the oldest."""
+        """Store a destination's outage, remove it if it is healthy, and evict the oldest beyond the limit."""
         self.outages.pop(record.destination, None)
         if record.phase != _HEALTHY:
             self.outages[record.destination] = record
@@ -90,7 +90,7 @@
             del self.outages[next(iter(self.outages))]
 
     def add_message(self, entry: JournalEntry, record_bytes: int) -> None:
-        """Add an open message whose record takes `record_bytes`."""
+        """Add an open message whose record has a size of `record_bytes`."""
         self.messages[entry.number] = entry
         self._resize(entry, record_bytes)
         self.next_number = max(self.next_number, entry.number + 1)
@@ -108,8 +108,8 @@
             entry.in_flight_since_ms = record.at_ms
             entry.in_flight_zone = record.zone
 
-    def return_attempt(self, record: AttemptReturned) -> None:
-        """Mark messages as no longer in flight, and as possibly executed."""
+    def end_attempt(self, record: AttemptEnded) -> None:
+        """Mark messages as no longer in flight, and possibly as executed."""
         for number in record.numbers:
             entry = self.messages.get(number)
             if entry is None:
@@ -119,33 +119,33 @@
                 entry.first_executed_zone = entry.in_flight_zone
             entry.in_flight_since_ms = None
 
-    def owe_notification(self, record: NotificationOwed) -> None:
-        """Note the outcome that the platform is to be notified of."""
+    def set_pending_notification(self, record: NotificationPending) -> None:
+        """Set the outcome that the platform must be notified of."""
         entry = self.messages.get(record.number)
         if entry is None:
             return
-        if entry.owed_notification is None:
+        if entry.pending_notification is None:
             added_bytes = _NOTIFICATION_KEYS_BYTES
             if record.failure_history:
                 added_bytes += len(json.dumps(record.failure_history)) + _HISTORY_KEY_BYTES
             self._resize(entry, entry.size_bytes + added_bytes)
-        entry.owed_notification = record.outcome
+        entry.pending_notification = record.outcome
         entry.retry_after_ms = record.retry_after_ms
         entry.failure_history = record.failure_history
 
     def complete_messages(self, record: MessagesCompleted) -> None:
-        """Remove messages."""
+        """Remove completed messages."""
         for number in record.numbers:
             entry = self.messages.pop(number, None)
             if entry is not None:
                 self.live_bytes -= entry.size_bytes
 
     def used_class_tables(self) -> set[int]:
-        """Numbers of the class tables that open messages refer to, and of the current one."""
+        """Return the numbers of the class tables that open messages refer to, and of the current one."""
         return {entry.class_table for entry in self.messages.values()} | {self.current_class_table}
 
     def encode_settings(self) -> list[bytes]:
-        """Encode the records of all that is not an open message, as a compacted file begins with them."""
+        """Encode the records of all settings, with which a compacted file begins."""
         records: list[JournalRecord] = []
         if self.last_attempt_at_ms:
             records.append(LastAttemptRecorded(self.last_attempt_at_ms))
@@ -161,7 +161,7 @@
         return [record.encode() for record in records]
 
     def set_compacted(self, record_bytes: dict[int, int], file_bytes: int) -> None:
-        """Take over what a compacted file holds.
+        """Update sizes and class tables after a compaction.
 
         Args:
             record_bytes: size of each open message's record, by number.
--- a/winchspan/storage/message_log.py
+++ b/winchspan/storage/message_log.py
@@ -1,4 +1,4 @@
-"""A record log of open messages that compacts itself within a quota: base of the journal and of replicas."""
+"""A log of open messages with compaction and a quota: base class of the journal and of replicas."""
 
 from __future__ import annotations
 
@@ -19,30 +19,32 @@
 
 _FIRST_FILE: Final = "messages.journal"
 _SECOND_FILE: Final = "messages.journal.2"
-_OBSOLETE_FILE: Final = "messages.journal.new"  # that of a compaction by an earlier version
+_OBSOLETE_FILE: Final = "messages.journal.new"  # written by compactions of earlier versions
 
 
 class MessageLog:
-    """The open messages of one courier, in memory and on disk alike.
+    """The open messages of one courier, in memory and on disk.
 
-    A record that reports something that has already happened is owed to the disk: if there is no capacity for
-    it, it is kept as backlog and written before any other. Nothing new is recorded meanwhile, so that the
-    backlog is bounded by what was in flight.
+    A record of an event that has already happened must eventually be written: if there is no capacity for it,
+    it is added to a backlog that is written before any other record. No acceptance or start of an attempt is
+    recorded while there is a backlog, so that its size is bounded by the messages in flight.
     """
 
     def __init__(self, directory: Path, limit_bytes: int, disk: Disk | None = None) -> None:
-        """Open the log and recover what it holds, or create it.
+        """Open the log and recover its contents, or create it.
 
         Args:
-            directory: where its files are; it exists.
-            limit_bytes: what the files may take together.
+            directory: an existing directory for its files.
+            limit_bytes: upper bound on the total size of the files.
             disk: the calls that change files.
 
         Raises:
             OSError: a file cannot be opened, truncated or removed.
         """
-        self.on_backlog: Callable[[], None] = lambda: None  # called when a record could not be written
-        self.on_records_written: Callable[[bytes], None] | None = None  # called with what is on disk
+        self.on_backlog: Callable[[], None] = lambda: None  # called when a record is added to the backlog
+        self.on_records_written: Callable[[bytes], None] | None = (
+            None  # called with records once they are written
+        )
         self._state = JournalState()
         self._quota = StorageQuota(limit_bytes)
         self._backlog: list[bytes] = []
@@ -58,7 +60,7 @@
 
     @property
     def open_messages(self) -> list[JournalEntry]:
-        """The open messages in the order of acceptance."""
+        """The open messages, in the order of acceptance."""
         return self._state.ordered_messages()
 
     @property
@@ -72,56 +74,56 @@
         return self._state.disabled_endpoints
 
     def flush_backlog(self) -> bool:
-        """Write what could not be written when it happened; True if nothing is left of it."""
+        """Write the backlog; return whether it is empty now."""
         if self._backlog and self._write(b"".join(self._backlog)):
             self._backlog.clear()
             logger.info("journal: backlog written")
         return not self._backlog
 
     def close(self) -> None:
-        """Write the backlog if there is capacity, and let go of the file."""
+        """Write the backlog if there is capacity, and close the file."""
         if not self._file.is_closed:
             self.flush_backlog()
-        self.abandon()
+        self.close_without_flush()
 
-    def abandon(self) -> None:
-        """Let go of the file without writing, as the system does when a process dies."""
+    def close_without_flush(self) -> None:
+        """Close the file without writing the backlog, as when the process is killed."""
         self._file.close()
 
     # ---- for subclasses ----------------------------------------------------------------------------------
     def _append(self, data: bytes) -> bool:
-        """Append encoded records behind the backlog; False if there is no capacity for them."""
+        """Append encoded records after the backlog; return False if there is no capacity for them."""
         if self._backlog and not self.flush_backlog():
             return False
         return self._write(data)
 
-    def _append_or_owe(self, data: bytes) -> None:
-        """Append encoded records of what has happened, now or as soon as there is capacity.
+    def _append_or_defer(self, data: bytes) -> None:
+        """Append encoded records of past events, now or as soon as there is capacity.
 
-        A delivery that a full disk did not take would be repeated after a restart.
+        If a full disk dropped the record of a delivery, the delivery would be repeated after a restart.
         """
         if not self._append(data):
             self._backlog.append(data)
             self.on_backlog()
 
     def _apply(self, fields: dict[str, Any], body: bytes, size_bytes: int) -> None:
-        """Apply a record that was read to the state; subclasses add kinds of their own."""
+        """Apply a recovered record to the state; subclasses add further kinds."""
         record = decode_journal_record(fields, body)
         if record is not None:
             self._state.apply(record, size_bytes)
 
     def _encode_trailer(self) -> bytes:
-        """Encode what a subclass puts behind the open messages of a compacted file."""
+        """Encode records that a subclass appends to the open messages of a compacted file."""
         return b""
 
     def _compact(self, *, allow_growth: bool = False) -> bool:
         """Write the open messages to the other file and remove the current one.
 
         Args:
-            allow_growth: also if the file does not get smaller.
+            allow_growth: compact even if the file does not get smaller.
 
         Returns:
-            Whether it was done; the current file is unchanged if not.
+            Whether the file was compacted; if not, it is unchanged.
         """
         records = {entry.number: MessageAccepted(entry).encode() for entry in self._state.ordered_messages()}
         data = self._file.encode_replacement(
@@ -136,7 +138,7 @@
         except RecordWriteError as err:
             logger.error("journal: cannot compact: {}", err)
             return False
-        self._backlog.clear()  # the new file holds what it tells
+        self._backlog.clear()  # the new file contains its changes
         self._state.set_compacted({number: len(record) for number, record in records.items()}, len(data))
         return True
 
@@ -149,12 +151,12 @@
         return True
 
     def _write(self, data: bytes) -> bool:
-        if self._file.is_closed:  # what still happens is found again as it was left
+        if self._file.is_closed:  # later events are not recorded; recovery starts from the records on disk
             return False
         if self._quota.needs_compaction(self._file.size_bytes, self._state.live_bytes, len(data)):
             self._compact()
         if self._file.size_bytes + len(data) > self._quota.usable_bytes:
-            self._log_write_failure(f"no capacity for {len(data)} bytes beside {self._file.size_bytes}")
+            self._log_write_failure(f"no capacity for {len(data)} bytes; file size {self._file.size_bytes}")
             return False
         try:
             self._file.append(data)
@@ -167,7 +169,7 @@
         return True
 
     def _log_write_failure(self, reason: str) -> None:
-        """Log the first failure in a row."""
+        """Log the first of consecutive write failures."""
         if not self._write_failure_logged:
             self._write_failure_logged = True
             logger.error("journal: {}", reason)
--- a/winchspan/storage/record_file.py
+++ b/winchspan/storage/record_file.py
@@ -1,14 +1,14 @@
-"""Format of record files, and the choice of the current one of two.
+"""Format of record files, and selection of the current one of two files.
 
-A file is a sequence of records without gaps:
+A file is a sequence of adjacent records:
 
     offset  bytes  content
     0       4      length of the payload, unsigned, little-endian
     4       4      CRC-32 of the payload, unsigned, little-endian
     8       n      payload: one line of compact JSON, a line feed, then the body (possibly empty)
 
-A file that was written by compaction begins with `{"t":"file","gen":N}` and has `{"t":"whole","gen":N}`
-behind its contents; records that are appended later follow that. `N` is the file's generation, which rises
+A file that was written by compaction begins with `{"t":"file","gen":N}`, and its contents end with
+`{"t":"whole","gen":N}`; records that are appended later follow. `N` is the file's generation, which increases
 by one with each compaction. The first file of a directory has neither record: its generation is 0.
 """
 
@@ -28,15 +28,15 @@
 
 
 class Record(NamedTuple):
-    """A record as it was read."""
+    """A record that was read from a file."""
 
-    line: bytes  # its JSON, without the line feed
+    line: bytes  # JSON without the line feed
     body: bytes
     size_bytes: int  # in the file, prefix included
 
 
 class FileSelection(NamedTuple):
-    """Which of two files is current."""
+    """The current and the stale one of two files."""
 
     generation: int
     current: Path
@@ -50,20 +50,20 @@
 
 
 class _FileRank(NamedTuple):
-    """Order of preference between two files: the greater one is current."""
+    """Order of preference between two files: the file with the greater rank is current."""
 
     completeness: _Completeness
-    generation: int  # negative for a partial file: the newer one was still being written
+    generation: int  # negative for a partial file: of two, the older one is preferred
 
 
 def encode_record(fields: dict[str, Any], body: bytes = b"") -> bytes:
-    """Encode a record as it stands in a file."""
+    """Encode a record in the file format."""
     payload = json.dumps(fields, separators=(",", ":")).encode() + b"\n" + body
     return _PREFIX.pack(len(payload), crc32(payload)) + payload
 
 
 def iterate_records(data: bytes) -> Iterator[Record]:
-    """Yield the records up to the first one that is torn or corrupt."""
+    """Yield the records before the first one that is torn or corrupt."""
     offset = 0
     while offset + _PREFIX.size <= len(data):
         length, checksum = _PREFIX.unpack_from(data, offset)
@@ -77,20 +77,20 @@
 
 
 def file_header(generation: int) -> bytes:
-    """Encode the first record of a file that compaction writes."""
+    """Encode the first record of a file written by compaction."""
     return encode_record({"t": "file", "gen": generation})
 
 
 def completion_mark(generation: int) -> bytes:
-    """Encode the record that says that a file holds all that its predecessor did."""
+    """Encode the record that marks a file as a complete replacement of its predecessor."""
     return encode_record({"t": "whole", "gen": generation})
 
 
 def select_current_file(first: Path, second: Path) -> FileSelection:
-    """Choose the current file of two.
+    """Select the current file of two.
 
-    It is the complete one of the higher generation. If a broken disk has left no complete one, it is the one
-    of the lower generation: the other was still being written.
+    The complete file with the higher generation is current. If a faulty disk has left no complete file, the
+    one with the lower generation is current: the other one was still being written.
     """
     first_rank = _rank(first)
     second_rank = _rank(second)
--- a/winchspan/upgrade/__init__.py
+++ b/winchspan/upgrade/__init__.py
@@ -1,1 +1,1 @@
-"""One courier in two processes: a new version takes over from a serving one. `docs/upgrade.md` says how."""
+"""Upgrades a serving courier: a new process takes over its state. The design is in `docs/upgrade.md`."""
--- a/winchspan/upgrade/connection_converter.py
+++ b/winchspan/upgrade/connection_converter.py
@@ -1,4 +1,4 @@
-"""Convert the connections' states to records and back: clients, calls in flight, idle connections."""
+"""Converts the state of client connections, calls in flight and idle connections to records and back."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 )
 from winchspan.upgrade.transferred_state import IdleConnection
 
-# Fields of the record, and the names that they have in `AnswerParser.__getstate__`.
+# Fields of `ResponseParserRecord`, and their names in `ResponseParser.__getstate__`.
 _PARSER_ATTRIBUTES: Final = {
     "status": "status",
     "first_line_status": "first_line_status",
@@ -47,7 +47,7 @@
 
 
 def client_from_record(record: ClientRecord) -> ClientConnectionState:
-    """Return the client's connection of a record."""
+    """Return the state of a client's connection from its record."""
     return ClientConnectionState(
         unread=record.unread,
         has_answered=record.is_answered,
@@ -62,7 +62,7 @@
 
 
 def idle_connection_from_record(record: IdleConnectionRecord) -> IdleConnection:
-    """Return the idle connection of a record."""
+    """Return an idle connection from its record."""
     return IdleConnection(peer=_peer_from_record(record.peer), idle_ms_left=record.idle_ms_left)
 
 
@@ -80,7 +80,11 @@
 
 
 def call_from_record(record: CallRecord) -> HttpCallState:
-    """Return the call in flight of a record; raises HttpError if its answer has an unknown step."""
+    """Return a call in flight from its record.
+
+    Raises:
+        HttpProtocolError: if the parser of its response has an unknown step.
+    """
     return HttpCallState(
         peer=_peer_from_record(record.peer),
         deadline_ms=record.deadline_ms,
--- a/winchspan/upgrade/courier_components.py
+++ b/winchspan/upgrade/courier_components.py
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class CourierComponents:
-    """All components of one courier."""
+    """The components of one courier that take part in a hand-over."""
 
     clock: Clock
     timers: TimerQueue
--- a/winchspan/upgrade/decisions_codec.py
+++ b/winchspan/upgrade/decisions_codec.py
@@ -1,10 +1,9 @@
-"""The scheduler's part of the state as one opaque field: a restricted pickle.
+"""Encodes the opaque field `decisions`, the state of the scheduler, as a restricted pickle.
 
-The scheduler is a graph of some dozen classes that changes with every rule: the messages that it holds, its
-destinations and endpoints, calls, limits, timers, random state, counters, and the overload governor. The
-field passes only between programs of the same fingerprint, so that both have the same classes, to the byte;
-it is never read by another version. Its classes are checked against an allow-list, its shape only by its
-outermost types.
+The scheduler is a graph of about a dozen classes that change with every scheduling rule: queued messages,
+destinations, endpoints, calls, limits, timers, random state, counters, and the overload governor. The field
+passes only between programs of the same fingerprint, whose classes are equal to the byte. No other version
+reads it. Reading checks the classes against an allow-list, and the structure by its outermost types only.
 """
 
 from __future__ import annotations
@@ -18,12 +17,12 @@
 
 
 def encode_decisions(scheduler: Scheduler, pending_events: Sequence[api.Event]) -> bytes:
-    """Return the scheduler, with its governor, and the events that it has not been told, as bytes."""
+    """Encode the scheduler with its overload governor, and the events that it has not handled yet."""
     return dump((scheduler, list(pending_events)))
 
 
 def decode_decisions(encoded: bytes) -> tuple[Scheduler, list[api.Event]]:
-    """Read what `encode_decisions` wrote; raises HandOverError."""
+    """Decode the result of `encode_decisions`; raises HandOverError."""
     match load(encoded):
         case (Scheduler() as scheduler, list() as pending_events):
             return scheduler, pending_events
--- a/winchspan/upgrade/directory_converter.py
+++ b/winchspan/upgrade/directory_converter.py
@@ -1,4 +1,4 @@
-"""Convert the endpoint directory's state to records and back."""
+"""Converts the endpoint directory's state to records and back."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def directory_to_record(state: dict[str, Any]) -> EndpointDirectoryRecord:
-    """Return the record of what `EndpointDirectory.handed` returned."""
+    """Return the record of the state that `EndpointDirectory.export_state` returned."""
     return EndpointDirectoryRecord(
         sequence=state["seq"],
         endpoints=[_endpoint_to_record(endpoint) for endpoint in state["hosts"].values()],
@@ -31,7 +31,7 @@
             EndpointNumberRecord(name=encode_text(name), destination=destination, number=number)
             for (name, destination), number in state["numbers"].items()
         ],
-        next_number=next(copy.copy(state["next"])),  # a copy: this process may have to resume
+        next_number=next(copy.copy(state["next"])),  # a copy, because this process may resume
         offline_names=[encode_text(name) for name in sorted(state["by_hand"])],
         cold_names=[encode_text(name) for name in sorted(state["cold"])],
         seen_names=[encode_text(name) for name in state["ever"]],
@@ -39,7 +39,7 @@
 
 
 def directory_from_record(record: EndpointDirectoryRecord) -> dict[str, Any]:
-    """Return what `EndpointDirectory.take_over` takes."""
+    """Return the state for `EndpointDirectory.import_state` from its record."""
     endpoints = [_endpoint_from_record(endpoint) for endpoint in record.endpoints]
     return {
         "seq": record.sequence,
--- a/winchspan/upgrade/engine_converter.py
+++ b/winchspan/upgrade/engine_converter.py
@@ -1,4 +1,4 @@
-"""Convert the delivery engine's state to records and back: messages, attempts, and the opaque decisions."""
+"""Converts the delivery engine's messages, attempts and scheduler to records and back."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def engine_to_record(state: EngineState, calls: Mapping[int, HttpCall]) -> EngineRecord:
-    """Return the record of the engine; raises HandOverError for a call that is not among `calls`."""
+    """Return the record of the engine; raises HandOverError if an attempt's call is not among `calls`."""
     attempts = _distinct_attempts(state.messages)
     call_indexes = {id(call): index for index, call in calls.items()}
     attempt_indexes = {id(attempt): index for index, attempt in enumerate(attempts)}
@@ -37,7 +37,7 @@
 
 
 def engine_from_record(record: EngineRecord, calls: Mapping[int, HttpCall]) -> EngineState:
-    """Return the engine's state of a record; raises HandOverError for a reference that leads nowhere."""
+    """Return the engine's state from its record; raises HandOverError for an invalid reference."""
     scheduler, pending_events = decode_decisions(record.decisions)
     attempts = [_attempt_from_record(attempt, calls) for attempt in record.attempts]
     return EngineState(
@@ -51,7 +51,7 @@
 
 
 def _distinct_attempts(messages: SlotTable[AcceptedMessage]) -> list[DeliveryAttempt]:
-    """Return each attempt once, whatever the number of messages that it carries."""
+    """Return each attempt once, even if several messages share it."""
     attempts = {id(message.attempt): message.attempt for message in messages}
     return [attempt for attempt in attempts.values() if attempt is not None]
 
@@ -89,7 +89,7 @@
 def _table_to_record(
     table: SlotTable[AcceptedMessage], attempt_indexes: Mapping[int, int]
 ) -> MessageTableRecord:
-    """Read the slots themselves: handles must stay valid, and free slots be reused in the same order."""
+    """Return the record of the slots, so that handles stay valid and free slots are reused in order."""
     return MessageTableRecord(
         slots=[
             None if message is None else _message_to_record(message, attempt_indexes)
--- a/winchspan/upgrade/errors.py
+++ b/winchspan/upgrade/errors.py
@@ -1,30 +1,30 @@
-"""The errors of an upgrade."""
+"""Errors of an upgrade."""
 
 from __future__ import annotations
 
 
 class UpgradeError(Exception):
-    """Base of all that can go wrong in an upgrade."""
+    """Base of all errors of an upgrade."""
 
 
 class HandOverError(UpgradeError):
-    """The state cannot be handed over or cannot be read.
+    """The state cannot be handed over, or cannot be read.
 
-    Until the commit this ends only the hand-over: the serving process resumes. The message says in one line
-    what was wrong, where, and what was expected.
+    Before the commit, this error only ends the hand-over: the serving process resumes. The message is one
+    line that names the place, the problem, and what was expected.
     """
 
 
 class StateFormatError(HandOverError):
-    """The bytes of a state do not have the documented form."""
+    """The bytes of a state do not have the documented format."""
 
     def __init__(self, where: str, problem: str, expected: str) -> None:
-        """Make it.
+        """Create the error.
 
         Args:
-            where: the record or the field.
-            problem: what was found there.
-            expected: what should have been there.
+            where: name of the record or of the field.
+            problem: the invalid content.
+            expected: the content that was expected.
         """
         super().__init__(f"{where}: {problem}; expected {expected}")
         self.where = where
--- a/winchspan/upgrade/fingerprint.py
+++ b/winchspan/upgrade/fingerprint.py
@@ -1,4 +1,4 @@
-"""The fingerprint that tells whether two programs decide alike and write the same form of state."""
+"""Computes the fingerprint that shows whether two programs share decision code and state format."""
 
 from __future__ import annotations
 
@@ -7,13 +7,22 @@
 from pathlib import Path
 from typing import Final
 
-# Packages and modules whose objects are part of the state, or which decide what becomes of them.
-_FINGERPRINTED: Final = ("api", "config", "delivery", "net", "overload", "runtime", "scheduling", "upgrade")
+# Packages and modules that define objects of the state or decide on them.
+_FINGERPRINTED_PACKAGES: Final = (
+    "api",
+    "config",
+    "delivery",
+    "net",
+    "overload",
+    "runtime",
+    "scheduling",
+    "upgrade",
+)
 _FINGERPRINT_CHARACTERS: Final = 32
 
 
 def program_fingerprint() -> str:
-    """Return a digest of the deciding modules: equal for two programs only if these are, to the byte."""
+    """Return a digest of the fingerprinted packages, equal only if their sources are equal to the byte."""
     root = Path(__file__).parent.parent
     digest = hashlib.sha256()
     for path in _source_files(root):
@@ -23,7 +32,7 @@
 
 
 def _source_files(root: Path) -> Iterator[Path]:
-    for name in _FINGERPRINTED:
+    for name in _FINGERPRINTED_PACKAGES:
         module = root / f"{name}.py"
         if module.exists():
             yield module
--- a/winchspan/upgrade/hand_over_source.py
+++ b/winchspan/upgrade/hand_over_source.py
@@ -1,4 +1,4 @@
-"""The serving process's components in a hand-over: drain, freeze and export, commit or resume."""
+"""Drains, freezes and exports the components of the serving process; commits or resumes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class HandOverSource:
-    """Carries out the actions of a hand-over on the components of the serving process."""
+    """Performs the actions of a hand-over on the components of the serving process."""
 
     def __init__(
         self,
@@ -25,13 +25,14 @@
         on_stop: Callable[[], None],
         on_exit: Callable[[], None],
     ) -> None:
-        """Make it.
+        """Create the source of a hand-over.
 
         Args:
-            components: the courier.
-            spare_descriptor_count: how many descriptors two processes may hold beyond those of this one.
-            on_stop: shut down as at SIGTERM.
-            on_exit: release the state directory, and end the process.
+            components: the courier's components.
+            spare_descriptor_count: returns how many descriptors both processes may hold in addition to those
+                of this process.
+            on_stop: shuts down as at SIGTERM.
+            on_exit: releases the state directory, and ends the process.
         """
         self._components = components
         self._spare_descriptor_count = spare_descriptor_count
@@ -42,7 +43,7 @@
         self._exported_descriptors: list[int] = []
 
     def start_drain(self, same_program: bool) -> None:
-        """Accept no client, start no attempt, and recall the calls that are not written."""
+        """Accept no client, start no attempt, and recall the unwritten calls."""
         self._same_program = same_program
         self._components.engine.suspend(True)
         self._components.clients.suspend_accepting(True)
@@ -50,7 +51,7 @@
         self._components.notifications.suspend(True)
 
     def is_drained(self) -> bool:
-        """Whether all that is left can be handed over."""
+        """Whether all remaining calls and connections can be handed over."""
         return (
             self._components.engine.is_settled()
             and not self._components.clients.untransferable_count()
@@ -59,7 +60,10 @@
         )
 
     def cancel_undrained(self) -> None:
-        """End what did not drain in time: its messages may have run, and the scheduler is told so."""
+        """Cancel the calls and connections that did not drain in time.
+
+        The scheduler treats the messages of these calls as possibly executed.
+        """
         undrained = self._undrained_calls()
         logger.warning(
             "upgrade: cancelled {} calls and {} client connections that did not drain",
@@ -72,16 +76,16 @@
         self._components.clients.abort_untransferable()
 
     def freeze_and_export(self) -> StateTransfer:
-        """Stop every timer and every read, and return the state.
+        """Stop all timers and reads, and return the state.
 
         Raises:
-            HandOverError: the state cannot be handed over.
+            HandOverError: if the state cannot be handed over.
         """
         self._freeze()
         spare_count = self._spare_descriptor_count()
         busy, idle = self._components.http_connections.transferable()
         clients = self._components.clients.export_states()
-        # Both processes hold the descriptors that are on their way.
+        # Both processes hold the descriptors during the transfer.
         idle = idle[: max(0, spare_count - len(busy) - len(clients))]
         clients = clients[: max(0, spare_count - len(busy))]
         client_descriptors = [descriptor for descriptor, _ in clients]
@@ -97,23 +101,24 @@
         return self._export(state, busy_descriptors + client_descriptors + idle_descriptors)
 
     def commit(self) -> None:
-        """Close the journal, and our copies of the connections.
+        """Close the journal and this process's copies of the connections.
 
-        Guards against a connection that the new process closes while our copy keeps it open: an endpoint
-        would take a call that was cancelled for one in flight, and a client would write where nobody reads.
+        Otherwise a connection that the new process closes would stay open through the copy: an endpoint would
+        treat a cancelled call as still in flight, and a client would write to a connection that is not read.
         """
         self._components.journal.close()
         self.release_descriptors(self._exported_descriptors)
 
     def release_descriptors(self, descriptors: list[int]) -> None:
-        """Close our copies of some connections."""
+        """Close this process's copies of connections."""
         null_device = os.open(os.devnull, os.O_RDWR | os.O_CLOEXEC)
         for descriptor in descriptors:
-            os.dup2(null_device, descriptor, inheritable=False)  # its number still has an owner here
+            # Keeps the number in use: a socket object of this process still refers to it.
+            os.dup2(null_device, descriptor, inheritable=False)
         os.close(null_device)
 
     def resume(self) -> None:
-        """Roll back: go on as if no process had asked."""
+        """Roll back: serve again as before the request."""
         self.is_frozen = False
         self._components.clients.suspend_accepting(False)
         self._components.clients.pause_for_hand_over(False)
@@ -127,11 +132,11 @@
         self._on_stop()
 
     def exit(self) -> None:
-        """End the process: nothing is left to do here."""
+        """End the process after the commit."""
         self._on_exit()
 
     def _undrained_calls(self) -> list[HttpConnection]:
-        """Return the connections whose call cannot be handed over; to another program none can."""
+        """Return the connections whose calls cannot be handed over: all calls, if the programs differ."""
         return self._components.http_connections.untransferable(all_calls=not self._same_program)
 
     def _freeze(self) -> None:
--- a/winchspan/upgrade/legacy_overload.py
+++ b/winchspan/upgrade/legacy_overload.py
@@ -1,4 +1,4 @@
-"""The overload control as versions up to 5bc3544 pickled it: one object with all tables."""
+"""Reads the overload control of versions up to 5bc3544, which pickled it as one object with all tables."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from winchspan.overload.governor import OverloadGovernor
 from winchspan.overload.reservations import KeyBlock
 
-# Present names of the classes that stood in `winchspan.storms`, by module and name.
+# Classes of the former package `winchspan.storms`: old module and name to the present ones.
 RENAMED_CLASSES: Final = {
     ("winchspan.storms.book", "Appointment"): ("winchspan.overload.reservations", "Reservation"),
     ("winchspan.storms.book", "Book"): ("winchspan.overload.reservations", "ReservationTable"),
@@ -26,8 +26,8 @@
     ("winchspan.storms.pace", "Pace"): ("winchspan.overload.adaptive_rate", "AdaptiveRate"),
     ("winchspan.storms.settings", "StormSettings"): ("winchspan.overload.settings", "OverloadSettings"),
 }
-# Attributes that had other names: by the class's present module and name, old to new. Of frozen dataclasses
-# the pickle holds the values alone, in the order of the fields.
+# Renamed attributes, old to new, by the present module and name of their class. Frozen dataclasses need no
+# entry: their pickles hold the values only, in the order of the fields.
 RENAMED_ATTRIBUTES: Final[dict[tuple[str, str], dict[str, str]]] = {
     ("winchspan.overload.adaptive_rate", "AdaptiveRate"): {
         "_senders": "_sender_count",
@@ -102,7 +102,7 @@
 
 
 def governor_attributes(before: Mapping[str, Any]) -> dict[str, Any]:
-    """Return the attributes of a governor from those that it had when it held all tables itself."""
+    """Return the present attributes of a governor from those of versions in which it held all tables."""
     governor = OverloadGovernor(before["_s"], before["_storms"], before["_recent"], before["_others"])
     attributes = vars(governor)
     vars(attributes["_destinations"]).update(
@@ -115,7 +115,7 @@
         _previous_incarnation_call_at=before["_last_life"],
     )
     key_blocks = vars(before["_book"])["_key_blocks"]
-    for key, token_and_time in key_blocks.items():  # they were plain tuples
+    for key, token_and_time in key_blocks.items():  # plain tuples in old versions
         key_blocks[key] = KeyBlock(*token_and_time)
     vars(attributes["_retry_slots"]).update(_reservations=before["_book"], _spread=before["_spread"])
     return attributes | {
--- a/winchspan/upgrade/legacy_pickle.py
+++ b/winchspan/upgrade/legacy_pickle.py
@@ -1,11 +1,11 @@
-"""The pickled state that programs of another fingerprint exchange, and the states of versions up to 5bc3544.
+"""Pickled states: those between programs of different fingerprints, and those of versions up to 5bc3544.
 
-Between programs of different fingerprints the state is a pickle of plain values, in both directions:
-`{"drained": bool, "clients": [(unread bytes, is answered, faults, since ms), ...]}`. It stays in exactly this
-form, because every version reads it.
+Programs of different fingerprints exchange a pickle of plain values, in both directions:
+`{"drained": bool, "clients": [(unread bytes, is answered, faults, since ms), ...]}`. Every version reads it,
+so its form must not change.
 
-Between programs of the same fingerprint the versions up to 5bc3544 pickled their live objects. Such a state
-is read through the tables below. Once no supported version writes it, the tables go.
+Between programs of the same fingerprint, versions up to 5bc3544 pickled their live objects. The tables below
+map the names in such a state to the present ones. They can be removed once no supported version writes it.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 from winchspan.upgrade.restricted_pickle import RestrictedUnpickler, dump, load_with
 from winchspan.upgrade.transferred_state import CourierState, IdleConnection, TransferredState
 
-# Turns the attributes that an instance had into those that it has now.
+# Converts the attributes of an old instance to the present ones.
 _Converter: TypeAlias = Callable[[Mapping[str, Any]], Mapping[str, Any]]
 
-# Where the modules of a state stood in the versions up to commit 5bc3544.
+# Modules whose classes were moved after commit 5bc3544, old to new.
 _MOVED_MODULES: Final = {
     "winchspan.choice": "winchspan.scheduling.state",
     "winchspan.config": "winchspan.config.platform",
@@ -39,7 +39,7 @@
     "winchspan.sketch": "winchspan.runtime.sketches",
     "winchspan.slots": "winchspan.runtime.slot_table",
 }
-# Classes of a state that had other names up to commit 5bc3544.
+# Classes that were renamed after commit 5bc3544: old module and name to the present ones.
 _RENAMED_CLASSES: Final = {
     ("winchspan.interface", "PeerNote"): ("winchspan.api.events", "PeerNote"),
     ("winchspan.interface", "TimerFired"): ("winchspan.api.events", "TimerFired"),
@@ -68,7 +68,7 @@
     ("winchspan.sketch", "RecentKeys"): ("winchspan.runtime.sketches", "RecentKeyFilter"),
     **legacy_overload.RENAMED_CLASSES,
 }
-# Attributes that had other names up to commit 5bc3544: by the class's present module and name, old to new.
+# Attributes that were renamed after commit 5bc3544, old to new, by the present module and name of the class.
 _RENAMED_ATTRIBUTES: dict[tuple[str, str], dict[str, str]] = {
     ("winchspan.delivery.messages", "AcceptedMessage"): {
         "number": "journal_number",
@@ -90,19 +90,19 @@
     **legacy_scheduling.RENAMED_ATTRIBUTES,
     **legacy_overload.RENAMED_ATTRIBUTES,
 }
-# Classes whose attributes were divided otherwise up to commit 5bc3544, with what converts them.
+# Converters for classes whose attributes were restructured after commit 5bc3544.
 _ATTRIBUTE_CONVERTERS: Final[dict[tuple[str, str], _Converter]] = {
     ("winchspan.overload.governor", "OverloadGovernor"): legacy_overload.governor_attributes,
 }
 
 
 def encode_legacy_state(state: TransferredState) -> bytes:
-    """Return the state for a program of another fingerprint, of any version; raises HandOverError."""
+    """Encode the state for a program of another fingerprint; raises HandOverError."""
     return dump({"drained": state.is_out_of_service, "clients": [tuple(client) for client in state.clients]})
 
 
 def decode_legacy_state(encoded: bytes) -> TransferredState:
-    """Read a pickled state of any version; raises HandOverError."""
+    """Decode a pickled state of any version; raises HandOverError."""
     unpickler = _LegacyUnpickler(io.BytesIO(encoded))
     fields = load_with(unpickler)
     if not isinstance(fields, dict):
@@ -141,42 +141,42 @@
 
 
 class _LegacyUnpickler(RestrictedUnpickler):
-    """Reads old names as the present ones; `calls` holds the calls that the state names, by their numbers."""
+    """Replaces old names by the present ones; `calls` collects the calls of the state by their numbers."""
 
     def __init__(self, file: io.BytesIO) -> None:
         super().__init__(file)
         self.calls: dict[int, HttpCall] = {}
 
     def persistent_load(self, pid: object) -> HttpCall:
-        """Return the call of a number, not yet on its connection."""
+        """Return the call with a number; its connection is adopted later."""
         if not isinstance(pid, int):
             raise StateFormatError("call", f"number {pid!r:.40}", "an integer")
         return self.calls.setdefault(pid, HttpCall.without_connection())
 
-    def find_class(self, module: str, name: str) -> Any:  # noqa: ANN401  as the base class has it
-        """Return the present class of an old name."""
-        module_now, name_now = _RENAMED_CLASSES.get(
+    def find_class(self, module: str, name: str) -> Any:  # noqa: ANN401  signature of the base class
+        """Return the present class for an old name."""
+        present_module, present_name = _RENAMED_CLASSES.get(
             (module, name), (_MOVED_MODULES.get(module, module), name)
         )
-        found = super().find_class(module_now, name_now)
-        if (convert := _ATTRIBUTE_CONVERTERS.get((module_now, name_now))) is not None:
+        found = super().find_class(present_module, present_name)
+        if (convert := _ATTRIBUTE_CONVERTERS.get((present_module, present_name))) is not None:
             return _with_converter(found, convert)
-        attributes = _RENAMED_ATTRIBUTES.get((module_now, name_now))
+        attributes = _RENAMED_ATTRIBUTES.get((present_module, present_name))
         return found if attributes is None else _with_old_attributes(found, attributes)
 
 
 def _with_old_attributes(present: type, names: Mapping[str, str]) -> type:
-    """Return a stand-in for a class whose instances take old attribute names, and then become the class's."""
+    """Return a subclass whose instances accept old attribute names and then change to the present class."""
     return _with_converter(present, partial(_rename_attributes, names=names))
 
 
 def _with_converter(present: type, convert: _Converter) -> type:
-    """Return a stand-in for a class whose instances take old attributes, and then become the class's."""
+    """Return a subclass whose instances convert old attributes and then change to the present class."""
 
-    def set_state(self: object, state: Any) -> None:  # noqa: ANN401  as pickle has it
-        object.__setattr__(self, "__class__", present)  # their layouts are equal
+    def set_state(self: object, state: Any) -> None:  # noqa: ANN401  defined by pickle
+        object.__setattr__(self, "__class__", present)  # allowed, because the layouts are equal
         if isinstance(state, list):  # a frozen dataclass with slots: values in the order of the fields
-            present.__setstate__(self, state)  # type: ignore[attr-defined]  # dataclass makes it
+            present.__setstate__(self, state)  # type: ignore[attr-defined]  # generated by dataclass
             return
         converted = convert(_attributes(state))
         if hasattr(present, "__setstate__"):
@@ -187,8 +187,8 @@
     return type(present.__name__, (present,), {"__slots__": (), "__setstate__": set_state})
 
 
-def _attributes(state: Any) -> dict[str, Any]:  # noqa: ANN401  as pickle has it
-    """Return the attributes of a dict, or of a pair of dicts (of the instance and of its slots) or None."""
+def _attributes(state: Any) -> dict[str, Any]:  # noqa: ANN401  defined by pickle
+    """Return the attributes in a pickled state: a dict, or a pair of dicts or None (instance and slots)."""
     parts = state if isinstance(state, tuple) else (state,)
     return {name: value for part in parts if part is not None for name, value in part.items()}
 
--- a/winchspan/upgrade/legacy_scheduling.py
+++ b/winchspan/upgrade/legacy_scheduling.py
@@ -1,4 +1,4 @@
-"""The old names of the scheduler's classes and attributes, up to commit 5bc3544."""
+"""Maps the scheduler's class and attribute names of versions up to 5bc3544 to the present ones."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     ("winchspan.choice", "Limit"): ("winchspan.scheduling.state", "RateLimit"),
     ("winchspan.choice", "Sender"): ("winchspan.scheduling.scheduler", "Scheduler"),
 }
-"""Old module and class name to the present ones, where the class was renamed."""
+"""Renamed classes: old module and name to the present ones."""
 
 RENAMED_ATTRIBUTES: Final = {
     ("winchspan.scheduling.scheduler", "Scheduler"): {
@@ -24,7 +24,7 @@
         "dests": "destinations",
         "unheard": "unacknowledged",
         "turns": "key_queues",
-        "rests": "key_rests_ns",
+        "rests": "key_paused_until_ns",
         "flying": "in_flight",
         "timer_at": "timer_ns",
         "wake": "wake_ns",
@@ -36,8 +36,8 @@
         "usual": "health.latency_by_kind",
         "spare": "health.max_idle_by_kind",
         "stale": "health.lost_idle_ns",
-        "idle_trust": "health.distrusted_idle_ns",
-        "trust_again": "health.trusted_again_ns",
+        "idle_trust": "health.unreliable_idle_ns",
+        "trust_again": "health.unreliable_until_ns",
     },
     ("winchspan.scheduling.state", "Message"): {
         "cls": "message_class",
@@ -59,7 +59,7 @@
         "sent": "sent_ns",
         "paid": "charged_ns",
         "overdue": "is_overdue",
-        "judged": "is_judged",
+        "judged": "is_outcome_recorded",
         "withdrawn": "is_withdrawn",
         "retries": "retry_count",
         "idle": "idle_ns",
@@ -69,7 +69,7 @@
         "stated": "stated_per_s",
         "rate": "learned_per_s",
         "next_at": "next_call_ns",
-        "sent": "recent_ns",
+        "sent": "recent_sends_ns",
     },
     ("winchspan.scheduling.state", "Endpoint"): {
         "per_call": "max_batch",
@@ -86,11 +86,11 @@
         "strikes": "consecutive_failures",
         "fail_share": "failure_ratio",
         "lost": "loss_ratio",
-        "doubt": "suspected_ns",
+        "doubt": "suspected_since_ns",
         "unseen": "never_ran",
         "silent": "is_silent",
         "open": "is_open",
-        "ramp": "slow_start_ns",
+        "ramp": "slow_start_since_ns",
         "next_at": "next_call_ns",
         "idle": "idle_since_ns",
     },
@@ -101,19 +101,22 @@
         "mean": "latency_ns",
         "calls": "call_count",
         "retries": "retry_tokens",
-        "refused": "rejected_ns",
+        "refused": "rejected_since_ns",
         "next_at": "next_call_ns",
     },
 }
-"""By the present module and name of a class, old to new; a dotted name is an attribute of a part."""
+"""Renamed attributes, old to new, by the present module and name of their class.
+
+A dotted name is an attribute of a component.
+"""
 
 _REMOVED: Final[dict[type[object], frozenset[str]]] = {Endpoint: frozenset({"served", "share"})}
-"""Attributes that have no successor: the demand is the capacity's, and is learned anew."""
+"""Attributes without a successor: the demand belongs to the capacity now, and is learned again."""
 
 
 def set_attributes(instance: object, attributes: Mapping[str, Any]) -> None:
-    """Set the attributes of an instance, by their present names, those of its parts included."""
-    if isinstance(instance, RateLimit):  # no slow start of a whole capacity was kept
+    """Set the attributes of an instance and of its components by their present names."""
+    if isinstance(instance, RateLimit):  # old versions had no slow start of a capacity
         instance.name = ""
         instance.destination = None
         instance.slow_start = SlowStart()
@@ -121,7 +124,7 @@
         instance.absent_since_ns = None
     removed = _REMOVED.get(type(instance), frozenset())
     if isinstance(instance, Scheduler) and "settings" in attributes:
-        # The endpoint health was no object of its own; it shares the settings and the list of commands.
+        # Old versions had no separate endpoint health object; it shares the settings and the command list.
         instance.health = EndpointHealth(attributes["settings"], 0, attributes["commands"])
     for name, value in attributes.items():
         if name in removed:
--- a/winchspan/upgrade/records.py
+++ b/winchspan/upgrade/records.py
@@ -1,10 +1,10 @@
-"""The records that pass between two processes of the same fingerprint: version 1 of the state's format.
+"""Records of the state that passes between two processes of the same fingerprint: format version 1.
 
-The encoded state is `MAGIC` and one `StateRecord` in MessagePack: maps with the field names below, without
-unknown fields. References between objects are indexes into the lists of the same state. Times are readings of
-the monotonic clock in milliseconds, which both processes share, unless the field says otherwise.
+The encoded state is `MAGIC` followed by one `StateRecord` in MessagePack: maps with the field names below,
+without unknown fields. References between objects are indexes into lists of the same state. Unless a field is
+documented otherwise, times are milliseconds of the monotonic clock, which both processes share.
 
-The format is a contract: a changed meaning or field gets a new `FORMAT_VERSION`.
+The format is a contract: a changed field or meaning requires a new `FORMAT_VERSION`.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 from winchspan.upgrade.wire_protocol import MAX_DESCRIPTOR_COUNT
 
 FORMAT_VERSION: Final = 1
-MAGIC: Final = b"winchspan-state\n"  # no pickle begins so: those begin with 0x80
-MAX_MESSAGE_COUNT: Final = 1 << 20  # what the index in a handle can tell apart
+MAGIC: Final = b"winchspan-state\n"  # cannot be the start of a pickle, which is 0x80
+MAX_MESSAGE_COUNT: Final = 1 << 20  # number of slots that the index in a handle can address
 
 NonNegative = Annotated[int, Meta(ge=0)]
 
 
 class ClientRecord(Struct, frozen=True, forbid_unknown_fields=True):
-    """A client's connection, beside its descriptor.
+    """A client's connection, without its descriptor.
 
     Attributes:
-        unread: bytes received, from the first one of the first request that is not answered.
-        is_answered: whether the client has got an answer on this connection.
+        unread: received bytes, starting with the first unanswered request.
+        is_answered: whether the client has received an answer on this connection.
         fault_count: protocol errors so far.
         since_ms: when it connected, was last answered, or its partial request began.
     """
@@ -41,10 +41,10 @@
 class EndpointStateRecord(Struct, frozen=True, forbid_unknown_fields=True):
     """An endpoint as discovery last described it.
 
-    The texts are UTF-8 in which lone surrogates may stand, as JSON lets discovery send them.
+    Texts are UTF-8 and may contain lone surrogates, because discovery can send them in JSON.
 
     Attributes:
-        number: its identity within this courier.
+        number: the endpoint's identifier within this courier.
         name: its name in discovery, UTF-8.
         host: IP address to connect to.
         port: TCP port to connect to.
@@ -67,7 +67,7 @@
 
 
 class EndpointNumberRecord(Struct, frozen=True, forbid_unknown_fields=True):
-    """The number given to an endpoint's name (UTF-8) within a destination."""
+    """The number assigned to an endpoint's name (UTF-8) within a destination."""
 
     name: bytes
     destination: int
@@ -75,7 +75,7 @@
 
 
 class DestinationRecord(Struct, frozen=True, forbid_unknown_fields=True):
-    """A destination, and how many endpoints of it are in the directory."""
+    """A destination, and the number of its endpoints in the directory."""
 
     destination: int
     endpoint_count: int
@@ -85,13 +85,13 @@
     """The endpoint directory; the names are UTF-8.
 
     Attributes:
-        sequence: discovery's version of the endpoint list; -1 before any.
-        endpoints: in the order in which they became known.
-        destinations: in the order in which they became known.
-        numbers: in the order in which they were given.
-        next_number: the number that the next endpoint gets.
+        sequence: discovery's version of the endpoint list; -1 before the first list.
+        endpoints: the endpoints, in the order of their first listing.
+        destinations: the destinations, in the order of their first listing.
+        numbers: the assigned numbers, in the order of their assignment.
+        next_number: the number of the next new endpoint.
         offline_names: endpoints that operators have taken out of service.
-        cold_names: endpoints put back into service of which the scheduler has not been told.
+        cold_names: endpoints that were put back into service, but not yet reported to the scheduler.
         seen_names: every name that was ever listed, oldest first.
     """
 
@@ -114,25 +114,25 @@
 
 
 class IdleConnectionRecord(Struct, frozen=True, forbid_unknown_fields=True):
-    """A connection to an endpoint without a call, and for how many milliseconds it may still stand idle."""
+    """A connection to an endpoint without a call, and the milliseconds for which it may stay idle."""
 
     peer: PeerRecord
     idle_ms_left: float
 
 
 class ResponseParserRecord(Struct, frozen=True, forbid_unknown_fields=True):
-    """An HTTP answer as far as it was read.
+    """The state of a partly read HTTP response.
 
     Attributes:
-        status: 0 until the head is complete.
-        first_line_status: 0 until the first line is complete.
-        headers: by lower-case name.
-        body: what has come of it.
-        is_done: whether the answer is complete.
+        status: status code; 0 until the head is complete.
+        first_line_status: status code; 0 until the first line is complete.
+        headers: header values by lower-case name.
+        body: the part of the body that was read.
+        is_done: whether the response is complete.
         keep_alive: whether the connection may carry another call.
-        interim_count: interim (1xx) answers so far.
-        step: which part of the answer comes next; the name of the parser's step.
-        bytes_left: of the body or chunk that is being read.
+        interim_count: interim (1xx) responses so far.
+        step: name of the parser's next step.
+        bytes_left: remaining bytes of the current body or chunk.
     """
 
     status: int
@@ -147,7 +147,7 @@
 
 
 class OutgoingMessageRecord(Struct, frozen=True, forbid_unknown_fields=True):
-    """What of a message goes to the endpoint; `token` is its idempotency key."""
+    """The part of a message that is sent to the endpoint; `token` is its idempotency key."""
 
     id: str
     token: str
@@ -155,23 +155,23 @@
 
 
 class CallContentRecord(Struct, frozen=True, forbid_unknown_fields=True):
-    """The messages that a call was to carry, and the indexes among them of those that were sent."""
+    """The messages of a call, and the indexes of those that were sent."""
 
     messages: list[OutgoingMessageRecord]
     sent: list[NonNegative]
 
 
 class CallRecord(Struct, frozen=True, forbid_unknown_fields=True):
-    """A call in flight, beside its connection's descriptor.
+    """A call in flight, without its connection's descriptor.
 
     Attributes:
-        peer: who is called.
-        deadline_ms: when it is given up.
-        content: None for a call that carries no messages.
-        parser: the answer so far.
-        unread: bytes received that the parser has not used.
-        answer_deadline_ms: when an answer that has begun must be complete; None: it has not begun.
-        closes_connection: whether the connection is closed after it.
+        peer: the called endpoint.
+        deadline_ms: when the call times out.
+        content: the messages; None for a call without messages.
+        parser: the response so far.
+        unread: received bytes that are not parsed yet.
+        answer_deadline_ms: when a response that has started must be complete; None before it starts.
+        closes_connection: whether the connection is closed after the call.
     """
 
     peer: PeerRecord
@@ -184,13 +184,13 @@
 
 
 class AttemptHistoryRecord(Struct, frozen=True, forbid_unknown_fields=True):
-    """One finished attempt, for the evidence of a dead letter.
+    """One completed attempt, recorded for the evidence of a dead letter.
 
     Attributes:
-        endpoint: its name, UTF-8.
-        started_unix_ms: when it began, by the wall clock.
+        endpoint: name of the endpoint, UTF-8.
+        started_unix_ms: start time, by the wall clock.
         outcome: the name of the outcome.
-        duration_ms: how long it took.
+        duration_ms: duration of the attempt.
         wait_ms: the wait that the endpoint asked for.
     """
 
@@ -202,7 +202,7 @@
 
 
 class AttemptMemberRecord(Struct, frozen=True, forbid_unknown_fields=True):
-    """A message of an attempt: its handle, and the number of this attempt among the message's."""
+    """A message of an attempt: its handle, and the attempt's number among the attempts of the message."""
 
     handle: int
     attempt_number: int
@@ -212,12 +212,12 @@
     """A delivery attempt in flight.
 
     Attributes:
-        endpoint_number: who is called.
+        endpoint_number: number of the called endpoint.
         members: the messages that it carries.
-        started_ms: when it began.
-        call: index into `CourierRecord.calls`; None if it has not begun.
-        is_over: whether it ended before it could begin.
-        cancelled_handles: the messages whose cancellation the scheduler has been told.
+        started_ms: start time.
+        call: index into `CourierRecord.calls`; None if the call has not started.
+        is_over: whether it was withdrawn before the call started.
+        cancelled_handles: messages whose cancellation was reported to the scheduler.
     """
 
     endpoint_number: int
@@ -229,22 +229,22 @@
 
 
 class MessageRecord(Struct, frozen=True, forbid_unknown_fields=True):
-    """A message accepted, until nothing more is owed for it and no attempt of it is in flight.
+    """An accepted message that still needs an answer or a notification, or has an attempt in flight.
 
     Attributes:
-        number: of its journal entry.
-        id: the client's name for it.
+        number: number of its journal entry.
+        id: identifier that the client gave.
         destination: the destination's number.
         deadline_ms: when it expires.
         token: idempotency key, passed on unchanged.
         body: passed on unchanged.
-        class_name: of its message class.
-        handle: of its slot.
+        class_name: name of its message class.
+        handle: handle of its slot.
         attempt_count: attempts so far.
-        attempt: index into `EngineRecord.attempts` of the last attempt; None: not in flight.
-        is_over: whether it has ended, with an attempt still in flight.
-        resend_number: of the dead letter that it redelivers; 0: none.
-        history: finished attempts; None where no dead letters are kept.
+        attempt: index into `EngineRecord.attempts` of the last attempt; None if it is not in flight.
+        is_over: whether it has ended while an attempt is still in flight.
+        resend_number: number of the dead letter that it redelivers; 0 if there is none.
+        history: completed attempts; None if dead letters are not archived.
     """
 
     number: int
@@ -263,12 +263,12 @@
 
 
 class MessageTableRecord(Struct, frozen=True, forbid_unknown_fields=True):
-    """The slot table of the messages: by index, what each slot holds and its generation.
+    """The slot table of the messages: the content and the generation of each slot, by index.
 
     Attributes:
-        slots: None: free.
-        generations: how often each slot was freed.
-        free_indexes: the last one is taken first.
+        slots: the message of each slot; None if the slot is free.
+        generations: number of times that each slot was freed.
+        free_indexes: indexes of the free slots; the last one is used first.
     """
 
     slots: Annotated[list[MessageRecord | None], Meta(max_length=MAX_MESSAGE_COUNT)]
@@ -277,16 +277,17 @@
 
 
 class EngineRecord(Struct, frozen=True, forbid_unknown_fields=True):
-    """The delivery engine beside its journal.
+    """The delivery engine, without its journal.
 
     Attributes:
-        decisions: the scheduler with its overload governor, and the events that it has not been told, as one
-            opaque field, see `decisions_codec`. Equal fingerprints ensure that both have its classes.
-        messages: the messages in hand.
+        decisions: the scheduler with its overload governor, and the events that it has not handled yet, as
+            one opaque field, see `decisions_codec`. Equal fingerprints ensure that both programs have its
+            classes.
+        messages: the open messages.
         attempts: the attempts in flight.
-        handles_by_id: the handle of each message that is open.
-        held_count: messages whose final answer the scheduler owes.
-        in_flight_count: attempts in flight.
+        handles_by_id: the handle of each open message.
+        held_count: number of messages that await the scheduler's final answer.
+        in_flight_count: number of attempts in flight.
     """
 
     decisions: bytes
@@ -298,7 +299,7 @@
 
 
 class CourierRecord(Struct, frozen=True, forbid_unknown_fields=True):
-    """The engine with its calls and connections; calls and idle connections in their descriptors' order."""
+    """The engine with its calls and idle connections, both in the order of their descriptors."""
 
     engine: EngineRecord
     endpoint_directory: EndpointDirectoryRecord
@@ -307,13 +308,13 @@
 
 
 class StateRecord(Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole state.
+    """The complete state.
 
     Attributes:
         version: `FORMAT_VERSION` of the program that wrote it.
         is_out_of_service: whether an operator has taken the courier out of service.
-        clients: in the order of their descriptors.
-        courier: what passes only between programs of the same fingerprint.
+        clients: the clients' connections, in the order of their descriptors.
+        courier: the part that passes only between programs of the same fingerprint.
     """
 
     version: int
--- a/winchspan/upgrade/restore.py
+++ b/winchspan/upgrade/restore.py
@@ -1,4 +1,4 @@
-"""The new process's components: go on where the old process has stopped."""
+"""Restores the components of the new process from the state of the old process."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     system: System,
     inherited: InheritedState,
 ) -> None:
-    """Go on with the decisions, the calls in flight and the clients of another process.
+    """Restore the scheduler, the messages, the calls in flight and the clients of another process.
 
     Args:
-        components: this process's components, fresh.
-        loop: where the connections go on.
-        system: gives the connections by their descriptors.
-        inherited: the state and the descriptors, in the order that `TransferredState` documents.
+        components: this process's components, newly created.
+        loop: event loop for the adopted connections.
+        system: opens the connections from their descriptors.
+        inherited: the state, and the descriptors in the order that `TransferredState` documents.
     """
     state = inherited.state
     assert state is not None
@@ -49,13 +49,13 @@
 ) -> None:
     index_by_call = {id(call): index for index, call in courier.calls.items()}
 
-    def rejoin(call: PendingCall, done: Callable[[list[AttemptResult]], None]) -> None:
+    def resume_call(call: PendingCall, on_done: Callable[[list[AttemptResult]], None]) -> None:
         assert isinstance(call, HttpCall)
         index = index_by_call[id(call)]
-        components.attempt_transport.adopt(sockets[index], call, courier.call_states[index], done)
+        components.attempt_transport.adopt(sockets[index], call, courier.call_states[index], on_done)
 
     components.endpoint_directory.import_state(courier.endpoint_directory)
-    components.engine.import_state(courier.engine, rejoin)
+    components.engine.import_state(courier.engine, resume_call)
 
 
 def _restore_idle_connections(
--- a/winchspan/upgrade/restricted_pickle.py
+++ b/winchspan/upgrade/restricted_pickle.py
@@ -1,7 +1,7 @@
-"""Pickles that name our own classes and plain library types, and nothing else.
+"""Pickles that may only name winchspan's own classes and plain library types.
 
-A pickle from elsewhere could name any function to be called. Both processes run as the same user, so that
-this is a second line of defence; it also tells early where a state names what this program does not have.
+An arbitrary pickle could name any function to be called. Both processes run as the same user, so this is a
+second line of defence. It also detects early if a state names a class that this program does not have.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 
 _PROTOCOL: Final = 5
 _MAX_ERROR_CHARACTERS: Final = 200
-# Modules whose classes may stand in a state.
-_MODULES: Final = {
+# Modules whose classes are allowed in a state.
+_ALLOWED_MODULES: Final = {
     "winchspan.api.commands",
     "winchspan.api.events",
     "winchspan.api.overload_control",
@@ -38,9 +38,9 @@
     "winchspan.scheduling.slow_start",
     "winchspan.scheduling.state",
 }
-_DECISION_PACKAGES: Final = ("winchspan.overload.",)  # all their classes may
-# Library classes and functions that pickles of our objects name.
-_LIBRARY: Final = {
+_ALLOWED_PACKAGES: Final = ("winchspan.overload.",)  # all classes of these packages are allowed
+# Library classes and functions that pickles of these classes name.
+_ALLOWED_LIBRARY_NAMES: Final = {
     ("collections", "deque"),
     ("collections", "OrderedDict"),
     ("array", "array"),
@@ -56,17 +56,17 @@
 
 
 class RestrictedUnpickler(pickle.Unpickler):
-    """Reads pickles that name allowed classes only."""
+    """Reads only pickles that name allowed classes."""
 
-    def find_class(self, module: str, name: str) -> Any:  # noqa: ANN401  as the base class has it
+    def find_class(self, module: str, name: str) -> Any:  # noqa: ANN401  signature of the base class
         """Return an allowed class or function; raises HandOverError for any other."""
-        if "." not in name and (module, name) in _LIBRARY:
+        if "." not in name and (module, name) in _ALLOWED_LIBRARY_NAMES:
             return super().find_class(module, name)
-        if "." not in name and (module in _MODULES or module.startswith(_DECISION_PACKAGES)):
+        if "." not in name and (module in _ALLOWED_MODULES or module.startswith(_ALLOWED_PACKAGES)):
             found = super().find_class(module, name)
             if isinstance(found, type) and found.__module__ == module:
                 return found
-        raise HandOverError(f"{module}.{name} is no part of a state; expected a class that is")
+        raise HandOverError(f"{module}.{name} is no part of a state; expected an allowed class")
 
 
 def dump(value: object) -> bytes:
@@ -78,16 +78,16 @@
 
 
 def load(encoded: bytes, unpickler: type[RestrictedUnpickler] = RestrictedUnpickler) -> object:
-    """Read a pickle; raises HandOverError."""
+    """Load a pickle; raises HandOverError."""
     return load_with(unpickler(io.BytesIO(encoded)))
 
 
 def load_with(unpickler: RestrictedUnpickler) -> object:
-    """Read the pickle of an unpickler; raises HandOverError."""
+    """Load the pickle of an unpickler; raises HandOverError."""
     try:
         return unpickler.load()
     except HandOverError:
         raise
-    except Exception as err:  # whatever a damaged pickle may raise
+    except Exception as err:  # a damaged pickle may raise any exception
         problem = f"{err!r:.{_MAX_ERROR_CHARACTERS}}"
         raise StateFormatError("pickle", problem, "a complete pickle") from err
--- a/winchspan/upgrade/state_codec.py
+++ b/winchspan/upgrade/state_codec.py
@@ -1,7 +1,7 @@
-"""Encode and decode the state that one process hands over to the next.
+"""Encodes and decodes the state that one process hands over to the next.
 
-For a program of the same fingerprint the state is a record (see `records`); for any other it is a pickle of
-plain values (see `legacy_pickle`). A reader tells them apart by the first bytes.
+For a program of the same fingerprint the state is a record (see `records`). For any other program it is a
+pickle of plain values (see `legacy_pickle`). The first bytes distinguish the two forms.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
     """Return the state as bytes.
 
     Raises:
-        HandOverError: it cannot be encoded, or is larger than a new process would read.
+        HandOverError: if it cannot be encoded, or exceeds the size that a new process reads.
     """
     encoded = encode_legacy_state(state) if state.courier is None else _encode_record(state, state.courier)
     if len(encoded) > MAX_STATE_BYTES:
@@ -40,7 +40,7 @@
 
 
 def decode_state(encoded: bytes) -> TransferredState:
-    """Read a state of this or of an earlier version; raises HandOverError."""
+    """Decode a state of this or of an earlier version; raises HandOverError."""
     if len(encoded) > MAX_STATE_BYTES:
         raise StateFormatError("state", f"{len(encoded)} bytes", f"at most {MAX_STATE_BYTES}")
     if not encoded.startswith(MAGIC):
@@ -54,7 +54,7 @@
     try:
         return _state_from_record(record)
     except (HttpProtocolError, ValueError, IndexError) as err:
-        raise StateFormatError("state", f"{err!r:.200}", "values that this program knows") from err
+        raise StateFormatError("state", f"{err!r:.200}", "values that this program supports") from err
 
 
 def _encode_record(state: TransferredState, courier: CourierState) -> bytes:
--- a/winchspan/upgrade/state_machine.py
+++ b/winchspan/upgrade/state_machine.py
@@ -1,52 +1,56 @@
-"""The serving side of a hand-over as a state machine without I/O: events and times in, actions out."""
+"""The serving side of a hand-over: a state machine without I/O that maps events and times to actions."""
 
 from __future__ import annotations
 
 from enum import Enum
 from typing import Final
 
-DRAIN_TIMEOUT_MS: Final = 700.0  # longer than an answer that has begun may take to end
-CALL_DRAIN_TIMEOUT_MS: Final = 1_200.0  # for calls in flight, where they cannot be handed over
-TRANSFER_TIMEOUT_MS: Final = 1_500.0  # for the new process to receive and read the state
+DRAIN_TIMEOUT_MS: Final = 700.0  # longer than the limit for the rest of a partly received response
+CALL_DRAIN_TIMEOUT_MS: Final = 1_200.0  # drain timeout if calls in flight cannot be handed over
+TRANSFER_TIMEOUT_MS: Final = 1_500.0  # time for the new process to receive and decode the state
 
 
 class HandOverState(Enum):
     """The phase of a hand-over."""
 
     SERVING = "serving"
-    DRAINING = "draining"  # starts no attempt, and waits for what cannot be handed over
-    TRANSFERRING = "transferring"  # frozen; the state is on its way
-    COMMITTED = "committed"  # the new process has all of it
+    DRAINING = "draining"  # starts no attempt, and waits for calls and connections that cannot be handed over
+    TRANSFERRING = "transferring"  # frozen, while the state is sent
+    COMMITTED = "committed"  # the new process has taken over
 
 
 class HandOverAction(Enum):
     """A command to the serving process."""
 
-    START_DRAIN = "start drain"  # accept no client, start no attempt, recall what is not written
-    CANCEL_UNDRAINED = "cancel undrained"  # end what did not drain in time
+    START_DRAIN = "start drain"  # accept no client, start no attempt, recall unwritten calls
+    CANCEL_UNDRAINED = "cancel undrained"  # cancel calls and connections that did not drain in time
     TRANSFER = "transfer"  # freeze and send the state
-    COMMIT = "commit"  # close the journal and tell the new process that it has taken over
-    RESUME = "resume"  # roll back: go on serving
-    REJECT = "reject"  # tell the new process that it cannot take over now
+    COMMIT = "commit"  # close the journal, and confirm the takeover to the new process
+    RESUME = "resume"  # roll back: serve again
+    REJECT = "reject"  # reject the request of the new process
     STOP = "stop"  # shut down as at SIGTERM
-    EXIT = "exit"  # nothing is left to do here
+    EXIT = "exit"  # end the process after the commit
 
 
 class HandOverStateMachine:
-    """Each event returns the actions to carry out, in order. Times are milliseconds."""
+    """Handles the events of a hand-over; each handler returns the actions to perform, in order.
+
+    Times are milliseconds.
+    """
 
     def __init__(self) -> None:
         self.state = HandOverState.SERVING
-        self._state_ends_ms = 0.0  # when the present state times out
+        self._state_ends_ms = 0.0  # when the current state times out
         self._stop_requested = False
         self._undrained_cancelled = False
 
     def on_request(self, now_ms: float, same_program: bool) -> list[HandOverAction]:
-        """Handle a new process that asks to take over.
+        """Handle the request of a new process to take over.
 
         Args:
-            now_ms: the time.
-            same_program: whether its fingerprint is ours, so that calls in flight can be handed over.
+            now_ms: the current time.
+            same_program: whether both programs have the same fingerprint, so that calls in flight can be
+                handed over.
         """
         if self.state is not HandOverState.SERVING or self._stop_requested:
             return [HandOverAction.REJECT]
@@ -57,7 +61,7 @@
         return [HandOverAction.START_DRAIN]
 
     def on_drained(self, now_ms: float) -> list[HandOverAction]:
-        """Handle the end of the drain: all that is left can be handed over."""
+        """Handle the end of the drain: all remaining calls and connections can be handed over."""
         if self.state is not HandOverState.DRAINING:
             return []
         self.state = HandOverState.TRANSFERRING
@@ -65,7 +69,7 @@
         return [HandOverAction.TRANSFER]
 
     def on_acknowledged(self) -> list[HandOverAction]:
-        """Handle the new process's word that it has the whole state and can read it."""
+        """Handle the acknowledgement of the new process that it received and decoded the state."""
         if self.state is not HandOverState.TRANSFERRING:
             return []
         self.state = HandOverState.COMMITTED
@@ -80,7 +84,7 @@
         return []
 
     def on_new_process_lost(self) -> list[HandOverAction]:
-        """Handle a new process that is gone or broke the protocol."""
+        """Handle the loss of the new process, or its violation of the protocol."""
         if self.state in (HandOverState.DRAINING, HandOverState.TRANSFERRING):
             return self._roll_back()
         return []
@@ -90,7 +94,7 @@
         return self._roll_back() if self.state is HandOverState.COMMITTED else []
 
     def on_stop(self) -> list[HandOverAction]:
-        """Handle SIGTERM: a hand-over that has begun is brought to its end first."""
+        """Handle SIGTERM: a hand-over in progress is completed first."""
         is_first = not self._stop_requested
         self._stop_requested = True
         return [HandOverAction.STOP] if is_first and self.state is HandOverState.SERVING else []
@@ -99,7 +103,9 @@
         if self._undrained_cancelled:
             return self._roll_back()
         self._undrained_cancelled = True
-        self._state_ends_ms = now_ms + DRAIN_TIMEOUT_MS  # what is cancelled needs a moment to be gone
+        self._state_ends_ms = (
+            now_ms + DRAIN_TIMEOUT_MS
+        )  # time for the cancelled calls and connections to close
         return [HandOverAction.CANCEL_UNDRAINED]
 
     def _roll_back(self) -> list[HandOverAction]:
--- a/winchspan/upgrade/take_over.py
+++ b/winchspan/upgrade/take_over.py
@@ -1,4 +1,4 @@
-"""The start of a process beside one that may be serving: take over, or wait for the state directory."""
+"""Acquires the state directory at startup: takes over from a serving process, or waits for the lock."""
 
 from __future__ import annotations
 
@@ -15,19 +15,20 @@
 if TYPE_CHECKING:
     from winchspan.upgrade.transferred_state import TransferredState
 
-LOCK_POLL_SECONDS: Final = 0.005  # between two tries to lock the directory after the commit
-RETRY_SECONDS: Final = 0.1  # between two tries to take over
-TRIES_PER_LOG_LINE: Final = 100
+LOCK_POLL_SECONDS: Final = 0.005  # delay between two attempts to lock the directory after the commit
+RETRY_SECONDS: Final = 0.1  # delay between two attempts to take over
+ATTEMPTS_PER_LOG_LINE: Final = 100
 
 
 @dataclass(slots=True)
 class InheritedState:
-    """What a new process has taken over from the one that served before it.
+    """The state that a new process has taken over from the previous one.
 
     Attributes:
-        state: None if no process handed over.
-        descriptors: the connections, in the order that `TransferredState` documents.
-        drain_requested_ms: the clock's reading before which the old process still read from its clients.
+        state: the transferred state; None if no process handed over.
+        descriptors: descriptors of the connections, in the order that `TransferredState` documents.
+        drain_requested_ms: monotonic time of the request; until then the old process still read from its
+            clients.
     """
 
     state: TransferredState | None = None
@@ -38,35 +39,35 @@
 def acquire_state_directory(
     directory: Path, lock: Callable[[], bool], now: Callable[[], float]
 ) -> InheritedState:
-    """Wait until the state directory is ours, by a hand-over or by the end of its holder.
+    """Wait until this process holds the state directory, after a hand-over or the end of the other process.
 
     Args:
-        directory: the one that lasts.
-        lock: locks it; False while another process holds it.
-        now: the clock's reading, ms.
+        directory: the state directory.
+        lock: tries to lock the directory; returns False while another process holds the lock.
+        now: returns the monotonic time, ms.
     """
     if lock():
         return InheritedState()
     fingerprint = program_fingerprint()
-    try_count = 0
+    attempt_count = 0
     while not lock():
         drain_requested_ms = now()
         inherited = _take_over(directory, fingerprint)
         if inherited is not None:
             inherited.drain_requested_ms = drain_requested_ms
-            while not lock():  # the old process commits before it ends, and so unlocks
+            while not lock():  # the old process unlocks it when it ends, after the commit
                 time.sleep(LOCK_POLL_SECONDS)
             return inherited
-        if try_count % TRIES_PER_LOG_LINE == 0:
+        if attempt_count % ATTEMPTS_PER_LOG_LINE == 0:
             logger.info("upgrade: {} is locked by another process; waiting", directory)
-        try_count += 1
+        attempt_count += 1
         time.sleep(RETRY_SECONDS)
     return InheritedState()
 
 
 def _take_over(directory: Path, fingerprint: str) -> InheritedState | None:
-    """Ask the serving process for its state; None if it did not commit it to this process."""
-    # Imported here, before the request: a start that finds nobody serving does without the codec.
+    """Request the state of the serving process; return None if it did not commit the hand-over."""
+    # Imported late, but before the request: a start without a serving process does not need the codec.
     from winchspan.upgrade.hand_over_client import receive_hand_over
     from winchspan.upgrade.state_codec import decode_state
 
--- a/winchspan/upgrade/transferred_state.py
+++ b/winchspan/upgrade/transferred_state.py
@@ -1,4 +1,4 @@
-"""The state of a courier in terms of its live objects, before it is encoded and after it was decoded."""
+"""The state of a courier as live objects: before it is encoded, and after it is decoded."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     """A connection to an endpoint with no call on it.
 
     Attributes:
-        peer: who is at its other end.
-        idle_ms_left: how long it may still stand idle.
+        peer: the endpoint at the other end.
+        idle_ms_left: remaining time for which the connection may stay idle.
     """
 
     peer: HttpPeer
@@ -24,14 +24,14 @@
 
 @dataclass(slots=True)
 class CourierState:
-    """What passes only between programs of the same fingerprint.
+    """The part of the state that passes only between programs of the same fingerprint.
 
     Attributes:
-        engine: the decisions, and the messages in hand.
-        endpoint_directory: what `EndpointDirectory.handed` returns.
-        calls: the calls in flight, which the attempts of `engine` name; by their index in `call_states`.
-        call_states: how far each call has come, in the order of its connection's descriptor.
-        idle_connections: in the order of their descriptors.
+        engine: the scheduler, and the open messages.
+        endpoint_directory: the state that `EndpointDirectory.export_state` returns.
+        calls: the calls in flight to which the attempts of `engine` refer, by their index in `call_states`.
+        call_states: the progress of each call, in the order of the connections' descriptors.
+        idle_connections: the idle connections, in the order of their descriptors.
     """
 
     engine: EngineState
@@ -43,14 +43,14 @@
 
 @dataclass(slots=True)
 class TransferredState:
-    """All that a new process takes over, beside the connections themselves.
+    """The state that a new process takes over, in addition to the descriptors of the connections.
 
     The descriptors come in the order: calls in flight, clients, idle connections.
 
     Attributes:
         is_out_of_service: whether an operator has taken the courier out of service.
-        clients: the clients' connections, in the order of their descriptors.
-        courier: None from a program of another fingerprint; the new process then recovers from the journal.
+        clients: the state of the clients' connections, in the order of their descriptors.
+        courier: None from a program of another fingerprint. The new process then recovers from the journal.
     """
 
     is_out_of_service: bool
