--- a/tests/test_scheduling_endpoint_health.py
+++ b/tests/test_scheduling_endpoint_health.py
@@ -5,28 +5,28 @@
 from winchspan import api
 from winchspan.api import Outcome
 
-from .helpers import MS, SECOND, World
+from .helpers import MS, SECOND, SchedulerHarness
 from .scheduling_traffic import deliver_calls, lose_answers
 from .slow_start_fleet import tolerance
 
 
-def lose_on_idle(world: World, rounds: int) -> None:
+def lose_on_idle(harness: SchedulerHarness, rounds: int) -> None:
     """Lose calls on idle connections, and deliver the next ones on new connections."""
     for i in range(rounds):
         lost, ok = f"lost{i}", f"ok{i}"
-        world.put(lost, after=3 * SECOND)
-        world.do(after=SECOND)
-        world.put(ok)
-        world.end(ok, Outcome.DELIVERED, after=100 * MS)
-        world.do(after=2 * SECOND)
-        if (lost, 0) in world.cancelled:
-            world.end(lost, Outcome.CANCELLED, attempt=0)
-            world.end(lost, Outcome.DELIVERED, after=100 * MS)
+        harness.submit(lost, after=3 * SECOND)
+        harness.handle(after=SECOND)
+        harness.submit(ok)
+        harness.complete_attempt(ok, Outcome.DELIVERED, after=100 * MS)
+        harness.handle(after=2 * SECOND)
+        if (lost, 0) in harness.cancelled:
+            harness.complete_attempt(lost, Outcome.CANCELLED, attempt=0)
+            harness.complete_attempt(lost, Outcome.DELIVERED, after=100 * MS)
 
 
-def closes_before_send(world: World, name: str) -> bool:
+def closes_before_send(harness: SchedulerHarness, name: str) -> bool:
     """Return whether idle connections are closed before the attempt is started."""
-    actions = world.put(name, after=6 * SECOND)
+    actions = harness.submit(name, after=6 * SECOND)
     kinds = [type(a) for a in actions]
     return api.CloseIdleConnections in kinds and kinds.index(api.CloseIdleConnections) < kinds.index(
         api.StartAttempt
@@ -35,39 +35,39 @@
 
 def test_idle_connections_are_closed_before_use_once_calls_on_them_are_lost():
     """Guards against calls lost on connections that were idle for a second (incident i3c573f)."""
-    world = World(slots=6)
-    deliver_calls(world, 1, 11)
-    assert not closes_before_send(world, "before")
-    world.end("before", Outcome.DELIVERED, after=100 * MS)
-    lose_on_idle(world, 3)
-    assert any(isinstance(a, api.LogDecision) and "idle connections" in a.text for a in world.log)
-    assert closes_before_send(world, "after")
+    harness = SchedulerHarness(slots=6)
+    deliver_calls(harness, 1, 11)
+    assert not closes_before_send(harness, "before")
+    harness.complete_attempt("before", Outcome.DELIVERED, after=100 * MS)
+    lose_on_idle(harness, 3)
+    assert any(isinstance(a, api.LogDecision) and "idle connections" in a.text for a in harness.commands)
+    assert closes_before_send(harness, "after")
 
 
 def test_idle_connections_are_trusted_again_after_cold_time():
-    world = World(slots=6)
-    deliver_calls(world, 1, 11)
-    lose_on_idle(world, 3)
-    world.do(after=11 * SECOND)
-    assert not closes_before_send(world, "later")
+    harness = SchedulerHarness(slots=6)
+    deliver_calls(harness, 1, 11)
+    lose_on_idle(harness, 3)
+    harness.handle(after=11 * SECOND)
+    assert not closes_before_send(harness, "later")
 
 
 def test_circuit_breaker_opens_tries_one_at_a_time_and_closes():
-    world = World(slots=8)
-    deliver_calls(world, 1, 11)
+    harness = SchedulerHarness(slots=8)
+    deliver_calls(harness, 1, 11)
     for i in range(3):
-        world.put(f"x{i}", cls="once")
-        world.end(f"x{i}", Outcome.ERROR, after=50 * MS)
-    health = world.sender.endpoints[11]
+        harness.submit(f"x{i}", cls="once")
+        harness.complete_attempt(f"x{i}", Outcome.ERROR, after=50 * MS)
+    health = harness.scheduler.endpoints[11]
     assert health.is_open
     for i in range(4):
-        world.put(f"y{i}")
-    world.do(after=4 * SECOND)
+        harness.submit(f"y{i}")
+    harness.handle(after=4 * SECOND)
     assert health.call_count == 1
-    trial = world.sent[-1][0]
-    world.end(trial, Outcome.DELIVERED, after=100 * MS)
+    trial = harness.sent[-1][0]
+    harness.complete_attempt(trial, Outcome.DELIVERED, after=100 * MS)
     assert not health.is_open
-    decisions = [a.text for a in world.log if isinstance(a, api.LogDecision)]
+    decisions = [a.text for a in harness.commands if isinstance(a, api.LogDecision)]
     remarks = [text for text in decisions if text.startswith("endpoint")]
     assert "unhealthy" in remarks[0] and "responds again" in remarks[1] and len(remarks) == 2
 
@@ -75,55 +75,57 @@
 def test_answers_lost_now_and_then_are_no_outage():
     """Guards against a slow start after each lost response; a fifth were lost (ferrara-invio rough-1)."""
     for lost in (Outcome.RESET, Outcome.TIMEOUT):
-        world = World()
-        deliver_calls(world, 1, 11)
+        harness = SchedulerHarness()
+        deliver_calls(harness, 1, 11)
         for i in range(8):
-            world.put(f"a{i}")
-            world.end(f"a{i}", lost, after=100 * MS)
-            assert world.sends(f"a{i}") == 2  # retried at once
+            harness.submit(f"a{i}")
+            harness.complete_attempt(f"a{i}", lost, after=100 * MS)
+            assert harness.attempt_count(f"a{i}") == 2  # retried at once
             if lost is Outcome.RESET:  # two calls without a response are stronger evidence
-                world.end(f"a{i}", lost, after=100 * MS)
-                assert world.sends(f"a{i}") == 3
-            world.end(f"a{i}", Outcome.DELIVERED, after=100 * MS)
-            world.do(after=2 * SECOND)
-            health = world.sender.endpoints[11]
+                harness.complete_attempt(f"a{i}", lost, after=100 * MS)
+                assert harness.attempt_count(f"a{i}") == 3
+            harness.complete_attempt(f"a{i}", Outcome.DELIVERED, after=100 * MS)
+            harness.handle(after=2 * SECOND)
+            health = harness.scheduler.endpoints[11]
             assert not health.is_open and health.slow_start_since_ns is None
-            deliver_calls(world, 1, 11, 5)
+            deliver_calls(harness, 1, 11, 5)
 
 
 def test_class_that_fails_at_one_endpoint_is_sent_there_once():
     """One endpoint fails calls of one class only: while suspected, it ranks after the healthy endpoint."""
-    world = World(endpoints={1: [11, 12]}, slots=2)
-    deliver_calls(world, 1, 11, 4)
+    harness = SchedulerHarness(endpoints={1: [11, 12]}, slots=2)
+    deliver_calls(harness, 1, 11, 4)
     failed = 0
     for i in range(24):
         name = f"m{i}"
-        world.put(name, cls="once" if i % 2 else "safe", after=200 * MS)
-        endpoint = world.sent[-1][1]
+        harness.submit(name, cls="once" if i % 2 else "safe", after=200 * MS)
+        endpoint = harness.sent[-1][1]
         bad = bool(i % 2 and endpoint == 11)
         failed += bad
-        world.end(name, Outcome.ERROR if bad else Outcome.DELIVERED, after=80 * MS, endpoint=endpoint)
+        harness.complete_attempt(
+            name, Outcome.ERROR if bad else Outcome.DELIVERED, after=80 * MS, endpoint=endpoint
+        )
     assert failed == 1
 
 
 def test_full_connection_table_is_no_outage():
-    world = World(slots=8)
-    deliver_calls(world, 1, 11)
+    harness = SchedulerHarness(slots=8)
+    deliver_calls(harness, 1, 11)
     for i in range(3):
-        world.put(f"m{i}")
-    world.end("m0", Outcome.DELIVERED, after=50 * MS)
-    world.end("m1", Outcome.CONNECT_FAILED)
-    health = world.sender.endpoints[11]
+        harness.submit(f"m{i}")
+    harness.complete_attempt("m0", Outcome.DELIVERED, after=50 * MS)
+    harness.complete_attempt("m1", Outcome.CONNECT_FAILED)
+    health = harness.scheduler.endpoints[11]
     assert not health.is_open and health.suspected_since_ns is None and health.max_calls <= 2
 
 
 def test_rejections_without_retry_after_slow_sending_down():
-    world = World(slots=8)
+    harness = SchedulerHarness(slots=8)
     for i in range(40):
-        world.put(f"m{i}", after=20 * MS)
-        if world.sends(f"m{i}"):
-            world.end(f"m{i}", Outcome.FULL, after=5 * MS)
-    assert len(world.sent) < 20
+        harness.submit(f"m{i}", after=20 * MS)
+        if harness.attempt_count(f"m{i}"):
+            harness.complete_attempt(f"m{i}", Outcome.FULL, after=5 * MS)
+    assert len(harness.sent) < 20
 
 
 def test_lone_rejection_teaches_no_rate_and_learned_rate_is_soon_raised():
@@ -132,23 +134,23 @@
     Seen at ferrara-invio and muscat-main.
     """
     for senders in (1, 2):
-        world = World(slots=8, senders=senders)
-        world.put("lone")
-        world.end("lone", Outcome.FULL, after=5 * MS)
-        assert not world.sender.endpoints[11].limit.learned_per_s
-    world = World(slots=8, senders=40)
+        harness = SchedulerHarness(slots=8, senders=senders)
+        harness.submit("lone")
+        harness.complete_attempt("lone", Outcome.FULL, after=5 * MS)
+        assert not harness.scheduler.endpoints[11].limit.learned_per_s
+    harness = SchedulerHarness(slots=8, senders=40)
     for i in range(3):
-        world.put(f"m{i}")
+        harness.submit(f"m{i}")
     for i in range(3):
-        world.end(f"m{i}", Outcome.FULL, after=5 * MS)
-        world.do(api.MessageWithdrawn(f"m{i}"))
-    learned = world.sender.endpoints[11].limit.learned_per_s
+        harness.complete_attempt(f"m{i}", Outcome.FULL, after=5 * MS)
+        harness.handle(api.MessageWithdrawn(f"m{i}"))
+    learned = harness.scheduler.endpoints[11].limit.learned_per_s
     assert learned
     for i in range(8):
-        world.put(f"n{i}")
-        world.do(after=6 * SECOND)
-        world.end(f"n{i}", Outcome.DELIVERED)
-    assert world.sender.endpoints[11].limit.learned_per_s > learned + 8 * 0.09
+        harness.submit(f"n{i}")
+        harness.handle(after=6 * SECOND)
+        harness.complete_attempt(f"n{i}", Outcome.DELIVERED)
+    assert harness.scheduler.endpoints[11].limit.learned_per_s > learned + 8 * 0.09
 
 
 def test_lone_rejection_teaches_rate_where_many_senders_share_limit():
@@ -156,72 +158,75 @@
 
     A third of their first attempts stayed over the destination's limit (site kenanga, herd+vast).
     """
-    world = World(slots=8, senders=40)
-    world.put("lone")
-    world.end("lone", Outcome.FULL, after=5 * MS)
-    limit = world.sender.endpoints[11].limit
-    assert limit.learned_per_s and limit.next_call_ns > world.now
-    world.put("next", after=10 * MS)
-    assert not world.sends("next")
+    harness = SchedulerHarness(slots=8, senders=40)
+    harness.submit("lone")
+    harness.complete_attempt("lone", Outcome.FULL, after=5 * MS)
+    limit = harness.scheduler.endpoints[11].limit
+    assert limit.learned_per_s and limit.next_call_ns > harness.now
+    harness.submit("next", after=10 * MS)
+    assert not harness.attempt_count("next")
 
 
 def test_retries_of_many_senders_at_limit_stay_part_of_arrivals():
     """Guards against 40 senders that retry at once, so that rejected calls use up the limit (grown sites)."""
-    worlds = [World(slots=4) for _ in range(40)]
-    for i, world in enumerate(worlds):
-        world.sender.health.rng.seed(i)
-        world.put("m")
-        world.end("m", Outcome.FULL, after=50 * MS, wait=500 * MS)
+    harnesses = [SchedulerHarness(slots=4) for _ in range(40)]
+    for i, harness in enumerate(harnesses):
+        harness.scheduler.health.rng.seed(i)
+        harness.submit("m")
+        harness.complete_attempt("m", Outcome.FULL, after=50 * MS, wait=500 * MS)
     calls = 0
     for _ in range(100):  # 5 s in which all calls are rejected
-        for world in worlds:
-            world.do(after=50 * MS)
-            if ("m", world.attempts["m"] - 1) in world.sender.in_flight:
+        for harness in harnesses:
+            harness.handle(after=50 * MS)
+            if ("m", harness.attempt_counts["m"] - 1) in harness.scheduler.in_flight:
                 calls += 1
-                world.end("m", Outcome.FULL, wait=500 * MS)
-    assert 20 <= calls <= 3 * len(worlds), calls
+                harness.complete_attempt("m", Outcome.FULL, wait=500 * MS)
+    assert 20 <= calls <= 3 * len(harnesses), calls
 
 
 def test_rejection_while_breaker_is_open_teaches_no_rate():
     """Guards against a learned rate that falls with each rejection during an outage (incident i72272d)."""
-    world = World(slots=8)
-    deliver_calls(world, 1, 11)
-    health = world.sender.endpoints[11]
+    harness = SchedulerHarness(slots=8)
+    deliver_calls(harness, 1, 11)
+    health = harness.scheduler.endpoints[11]
     for i in range(3):
-        world.put(f"x{i}", cls="once")
-        world.end(f"x{i}", Outcome.ERROR, after=50 * MS)
+        harness.submit(f"x{i}", cls="once")
+        harness.complete_attempt(f"x{i}", Outcome.ERROR, after=50 * MS)
     assert health.is_open and not health.limit.learned_per_s
-    world.put("trial", after=3 * SECOND)
-    world.end(world.sent[-1][0], Outcome.FULL, after=50 * MS)
+    harness.submit("trial", after=3 * SECOND)
+    harness.complete_attempt(harness.sent[-1][0], Outcome.FULL, after=50 * MS)
     assert not health.limit.learned_per_s
 
 
 def test_exhausted_allowance_is_left_to_refill():
     """Guards against calls over a rate limit whose state each response reports (incident i3c72bd)."""
     for left, gap in ((0.0, 500 * MS), (1.0, 0)):
-        world = World()
-        world.put("a")
-        world.put("b", after=10 * MS)
-        world.put("c", after=10 * MS)
-        reported_at = world.now
+        harness = SchedulerHarness()
+        harness.submit("a")
+        harness.submit("b", after=10 * MS)
+        harness.submit("c", after=10 * MS)
+        reported_at = harness.now
         done = api.AttemptCompleted(
             "a", 0, 11, Outcome.DELIVERED, is_final=True, limit_remaining=left, limit_rate=2.0
         )
-        world.do(done)
-        world.do(after=SECOND)
-        assert world.sends("c") == 1 and next(at for m, _, at in world.sent if m == "c") == reported_at + gap
+        harness.handle(done)
+        harness.handle(after=SECOND)
+        assert (
+            harness.attempt_count("c") == 1
+            and next(at for m, _, at in harness.sent if m == "c") == reported_at + gap
+        )
 
 
-def refuse_a_connection(after: int, **changes: int) -> World:
+def refuse_a_connection(after: int, **changes: int) -> SchedulerHarness:
     """Let a connection to one endpoint fail, then deliver a call to another one of its kind."""
-    world = World(endpoints={1: [11], 2: [21]}, slots=4, **changes)
-    deliver_calls(world, 1, 11)
-    world.put("refused", 2)
-    world.end("refused", Outcome.CONNECT_FAILED, after=after, endpoint=21)
-    world.put("next", 1)
-    world.end("next", Outcome.DELIVERED, after=100 * MS)
-    world.do(after=5 * SECOND)
-    return world
+    harness = SchedulerHarness(endpoints={1: [11], 2: [21]}, slots=4, **changes)
+    deliver_calls(harness, 1, 11)
+    harness.submit("refused", 2)
+    harness.complete_attempt("refused", Outcome.CONNECT_FAILED, after=after, endpoint=21)
+    harness.submit("next", 1)
+    harness.complete_attempt("next", Outcome.DELIVERED, after=100 * MS)
+    harness.handle(after=5 * SECOND)
+    return harness
 
 
 def test_connections_idle_for_less_at_kind_whose_tables_are_full():
@@ -229,13 +234,13 @@
 
     The senders that held these connections saw no failure there.
     """
-    assert api.CloseIdleConnections(11) in refuse_a_connection(20 * MS, senders=40).log
+    assert api.CloseIdleConnections(11) in refuse_a_connection(20 * MS, senders=40).commands
 
 
 def test_idle_connections_stay_where_no_table_was_full_or_senders_are_few():
     """A connect timeout is no evidence of a full table; two senders fill tables with calls in flight only."""
-    assert api.CloseIdleConnections(11) not in refuse_a_connection(SECOND, senders=40).log
-    assert api.CloseIdleConnections(11) not in refuse_a_connection(20 * MS, senders=2).log
+    assert api.CloseIdleConnections(11) not in refuse_a_connection(SECOND, senders=40).commands
+    assert api.CloseIdleConnections(11) not in refuse_a_connection(20 * MS, senders=2).commands
 
 
 def test_rejected_message_does_not_run_through_all_routes_at_once():
@@ -243,16 +248,16 @@
 
     Seen at valleys-dispatch-later big-2.
     """
-    world = World(endpoints={1: [11, 12, 13]}, kind="apart", slots=4)
-    world.put("m")
+    harness = SchedulerHarness(endpoints={1: [11, 12, 13]}, kind="apart", slots=4)
+    harness.submit("m")
     for _ in range(3):
-        world.end("m", Outcome.FULL, after=20 * MS, endpoint=world.sent[-1][1])
-        first = world.now
-        while ("m", world.attempts["m"] - 1) not in world.sender.in_flight:
-            world.do(after=10 * MS)
-        assert world.now - first >= 100 * MS
-    assert len({e for _, e, _ in world.sent}) > 1
-    assert world.sent[-1][2] - world.sent[0][2] > SECOND
+        harness.complete_attempt("m", Outcome.FULL, after=20 * MS, endpoint=harness.sent[-1][1])
+        first = harness.now
+        while ("m", harness.attempt_counts["m"] - 1) not in harness.scheduler.in_flight:
+            harness.handle(after=10 * MS)
+        assert harness.now - first >= 100 * MS
+    assert len({e for _, e, _ in harness.sent}) > 1
+    assert harness.sent[-1][2] - harness.sent[0][2] > SECOND
 
 
 def returning_calls(senders: int, down_s: int, seed: int) -> tuple[int, int]:
@@ -263,31 +268,37 @@
     20 ms during the outage; calls are delivered after 400 ms from then on.
     """
     changes = {"slots": 4, "senders": senders, "max_attempts": 99}
-    worlds = [World(endpoints={1: [11, 12]}, **changes) for _ in range(senders)]
-    for i, world in enumerate(worlds):
-        world.sender.health.rng.seed(seed + i)
-    returns_at, calls, retries = worlds[0].now + down_s * SECOND, 0, 0
-    pending: list[tuple[int, World, str, int]] = []
-    start = worlds[0].now
+    harnesses = [SchedulerHarness(endpoints={1: [11, 12]}, **changes) for _ in range(senders)]
+    for i, harness in enumerate(harnesses):
+        harness.scheduler.health.rng.seed(seed + i)
+    returns_at, calls, retries = harnesses[0].now + down_s * SECOND, 0, 0
+    pending: list[tuple[int, SchedulerHarness, str, int]] = []
+    start = harnesses[0].now
     for step in range((down_s + 3) * 20):
         now = start + step * 50 * MS
         if step % 20 == 0 and step // 20 < down_s:
-            worlds[step // 20 % senders].put("m", left=20 * SECOND)
-        for world in worlds:
-            world.do(after=now - world.now)
-            known = {(w is world, m) for _, w, m, _ in pending}
-            for m, a in world.attempts.items():
-                if (m, a - 1) in world.sender.in_flight and (True, m) not in known and m not in world.final:
-                    endpoint = world.sent[-1][1]
-                    pending.append((now + (400 if now >= returns_at else 20) * MS, world, m, endpoint))
+            harnesses[step // 20 % senders].submit("m", remaining_ns=20 * SECOND)
+        for harness in harnesses:
+            harness.handle(after=now - harness.now)
+            known = {(w is harness, m) for _, w, m, _ in pending}
+            for m, a in harness.attempt_counts.items():
+                if (
+                    (m, a - 1) in harness.scheduler.in_flight
+                    and (True, m) not in known
+                    and m not in harness.final_results
+                ):
+                    endpoint = harness.sent[-1][1]
+                    pending.append((now + (400 if now >= returns_at else 20) * MS, harness, m, endpoint))
                     if now >= returns_at:
                         calls += 1
                         retries += a > 1
         for item in [p for p in pending if p[0] <= now]:
             pending.remove(item)
-            _, world, m, endpoint = item
+            _, harness, m, endpoint = item
             ok = item[0] - 400 * MS >= returns_at
-            world.end(m, Outcome.DELIVERED if ok else Outcome.CONNECT_FAILED, endpoint=endpoint)
+            harness.complete_attempt(
+                m, Outcome.DELIVERED if ok else Outcome.CONNECT_FAILED, endpoint=endpoint
+            )
     return calls, retries
 
 
@@ -314,15 +325,17 @@
     budget = 2 * 8 * (0.25 + 0.75 * 0.1) * 2
     for seed in range(20):
         early = late = 0
-        worlds = [World(slots=2, senders=40, endpoints={1: [11, 12]}) for _ in range(40)]
-        opens = worlds[0].now + 10 * SECOND
-        for i, world in enumerate(worlds):
-            world.sender.health.rng.seed(40 * seed + i)
-            world.put("m", after=i * 250 * MS)
-            world.end("m", Outcome.FULL, after=20 * MS, wait=opens - world.now, endpoint=world.sent[0][1])
-            world.do(after=opens - world.now + 10 * SECOND)
-            assert all(at >= opens for _, _, at in world.sent[1:])
-            again = [at - opens for _, _, at in world.sent[1:]]
+        harnesses = [SchedulerHarness(slots=2, senders=40, endpoints={1: [11, 12]}) for _ in range(40)]
+        opens = harnesses[0].now + 10 * SECOND
+        for i, harness in enumerate(harnesses):
+            harness.scheduler.health.rng.seed(40 * seed + i)
+            harness.submit("m", after=i * 250 * MS)
+            harness.complete_attempt(
+                "m", Outcome.FULL, after=20 * MS, wait=opens - harness.now, endpoint=harness.sent[0][1]
+            )
+            harness.handle(after=opens - harness.now + 10 * SECOND)
+            assert all(at >= opens for _, _, at in harness.sent[1:])
+            again = [at - opens for _, _, at in harness.sent[1:]]
             early += sum(at < 2 * SECOND for at in again)
             late += len(again)
         assert early <= budget + tolerance(budget) and late > 20, (seed, early, late)
@@ -337,18 +350,18 @@
     for is_replaced in (False, True):
         calls = 0
         for i in range(40):
-            world = World(slots=4, senders=40)
-            world.sender.health.rng.seed(i)
+            harness = SchedulerHarness(slots=4, senders=40)
+            harness.scheduler.health.rng.seed(i)
             for m in range(3):
-                world.put(f"m{m}", after=2 * SECOND)
+                harness.submit(f"m{m}", after=2 * SECOND)
                 for _ in range(2):
-                    for name in [n for n in world.attempts if world.sender.held[n].in_flight]:
-                        world.end(name, Outcome.CONNECT_FAILED, after=10 * MS)
-            assert world.sender.endpoints[11].is_open
-            world.list({1: [12] if is_replaced else [11, 12]})
-            listed_at = world.now
-            world.do(after=2 * SECOND)
-            calls += sum(at >= listed_at for _, _, at in world.sent)
+                    for name in [n for n in harness.attempt_counts if harness.scheduler.held[n].in_flight]:
+                        harness.complete_attempt(name, Outcome.CONNECT_FAILED, after=10 * MS)
+            assert harness.scheduler.endpoints[11].is_open
+            harness.update_endpoints({1: [12] if is_replaced else [11, 12]})
+            listed_at = harness.now
+            harness.handle(after=2 * SECOND)
+            calls += sum(at >= listed_at for _, _, at in harness.sent)
         assert calls <= 20, (is_replaced, calls)
 
 
@@ -359,18 +372,18 @@
     """
     calls = 0
     for i in range(40):
-        world = World(slots=2, senders=40, endpoints={1: [11]}, connect_timeout_ns=SECOND)
-        deliver_calls(world, 1, 11)
-        world.do(after=20 * SECOND)
-        world.sender.health.rng.seed(i)
-        begun_at = world.now
-        world.put("m")
+        harness = SchedulerHarness(slots=2, senders=40, endpoints={1: [11]}, connect_timeout_ns=SECOND)
+        deliver_calls(harness, 1, 11)
+        harness.handle(after=20 * SECOND)
+        harness.scheduler.health.rng.seed(i)
+        begun_at = harness.now
+        harness.submit("m")
         for _ in range(50):
-            world.do(after=100 * MS)
-            _, _, at = world.sent[-1]
-            if world.sender.held["m"].in_flight and world.now - at >= SECOND:
-                world.end("m", Outcome.CONNECT_FAILED)
-        calls += sum(at >= begun_at for _, _, at in world.sent)
+            harness.handle(after=100 * MS)
+            _, _, at = harness.sent[-1]
+            if harness.scheduler.held["m"].in_flight and harness.now - at >= SECOND:
+                harness.complete_attempt("m", Outcome.CONNECT_FAILED)
+        calls += sum(at >= begun_at for _, _, at in harness.sent)
     assert calls <= 150, calls
 
 
@@ -386,24 +399,24 @@
         (0, 2_500 * MS, True),
         (3 * SECOND, 2_500 * MS, True),
     ):
-        world = World(slots=8)
-        deliver_calls(world, 1, 11)
-        world.put("m", after=quiet)
-        world.end("m", Outcome.FULL, after=20 * MS, wait=wait)
-        world.do(after=wait + 10 * MS)
-        assert world.sends("m") == 1 or not late
-        world.do(after=240 * MS)  # the pause of a learned rate or a slow start after the wait
-        assert world.sends("m") == 2 or late
+        harness = SchedulerHarness(slots=8)
+        deliver_calls(harness, 1, 11)
+        harness.submit("m", after=quiet)
+        harness.complete_attempt("m", Outcome.FULL, after=20 * MS, wait=wait)
+        harness.handle(after=wait + 10 * MS)
+        assert harness.attempt_count("m") == 1 or not late
+        harness.handle(after=240 * MS)  # the pause of a learned rate or a slow start after the wait
+        assert harness.attempt_count("m") == 2 or late
 
 
 def test_endpoint_that_loses_answers_is_not_ejected_by_two_failures_in_a_row():
     """Guards against trials at a destination that accepts all calls but loses some responses (day "wide")."""
     for rounds, opens in ((0, True), (6, False)):
-        world = World(slots=8)
-        deliver_calls(world, 1, 11)
-        lose_answers(world, rounds)
+        harness = SchedulerHarness(slots=8)
+        deliver_calls(harness, 1, 11)
+        lose_answers(harness, rounds)
         for name in ("x", "y"):
-            world.put(name)
-        world.do(after=500 * MS)
-        health = world.sender.endpoints[11]
+            harness.submit(name)
+        harness.handle(after=500 * MS)
+        health = harness.scheduler.endpoints[11]
         assert health.consecutive_failures == 2 and health.is_open == opens
--- a/tests/test_scheduling_slow_start.py
+++ b/tests/test_scheduling_slow_start.py
@@ -6,7 +6,7 @@
 from winchspan.api import EndpointStatus
 from winchspan.scheduling.scheduler import Scheduler
 
-from .helpers import MS, SECOND, World, settings
+from .helpers import MS, SECOND, SchedulerHarness, settings
 from .scheduling_traffic import deliver_calls
 
 
@@ -33,17 +33,17 @@
 
 # Guards against a slow start that paces a replaced endpoint by only a part of the previous load.
 def test_slow_start_after_an_absence_is_paced_by_the_load_before_it():
-    world = World(endpoints={1: [11]})
-    deliver_calls(world, 1, 11, count=60)
+    harness = SchedulerHarness(endpoints={1: [11]})
+    deliver_calls(harness, 1, 11, count=60)
 
     def demand_per_s() -> float:
-        (destination,) = world.sender.destinations.values()
-        return world.sender.health.slow_starts.demand_per_ns(destination.limit, world.now) * SECOND
+        (destination,) = harness.scheduler.destinations.values()
+        return harness.scheduler.health.slow_starts.demand_per_ns(destination.limit, harness.now) * SECOND
 
     before = demand_per_s()
-    world.list({})
-    world.do(after=8 * SECOND)
-    world.list({1: [12]})
-    world.do(after=10 * MS)
+    harness.update_endpoints({})
+    harness.handle(after=8 * SECOND)
+    harness.update_endpoints({1: [12]})
+    harness.handle(after=10 * MS)
     assert before > 1
     assert 0.9 * before <= demand_per_s() <= 1.1 * before
--- a/tests/test_simulation_auditor.py
+++ b/tests/test_simulation_auditor.py
@@ -1,4 +1,4 @@
-"""The auditor: it finds no violation of the unchanged courier, and each rule that a changed one breaks."""
+"""The auditor: no violations of the unchanged courier; the violation of each courier that breaks a rule."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from winchspan.application.notifier import PlatformNotifier
 from winchspan.config.platform import PlatformConfig
 from winchspan.delivery.engine import DeliveryEngine
-from winchspan.fakes.partner import Mode, Outage, PartnerSettings
+from winchspan.fakes.partner import Outage, OutageMode, PartnerSettings
 from winchspan.fakes.scenario import Scenario, storm_scenario
 from winchspan.net import attempt_transport as hooks
 from winchspan.net import http, resp
@@ -24,24 +24,26 @@
 from winchspan.simulation.environment import Environment, FaultKind, InjectedFault
 from winchspan.simulation.link import LinkProfile
 
-OUTAGE = Outage(3_000.0, 17_000.0, Mode.SILENT)
+OUTAGE = Outage(3_000.0, 17_000.0, OutageMode.SILENT)
 
 
-def hard_scenario(changes: dict[str, object] | None = None) -> Scenario:
-    """A partner slower than it lists, which announces waits, is silent for 14 s, and gets new endpoints.
+def adverse_scenario(changes: dict[str, object] | None = None) -> Scenario:
+    """Return a scenario with an outage, announced waits, and a changed endpoint list.
+
+    The partner accepts fewer calls than it lists, and is silent for 14 s.
 
     Args:
-        changes: of the platform's settings.
+        changes: changes of the platform's settings.
     """
     partner = PartnerSettings(actual=14.0, tells_wait=True, outages=(OUTAGE,), cold=3_000.0)
-    scenario = storm_scenario(0.9, 2, partner=partner, lasts=26_000.0)
-    return replace(scenario, relists=((2_000.0, 7),), changes=changes or scenario.changes)
+    scenario = storm_scenario(0.9, 2, partner=partner, duration_ms=26_000.0)
+    return replace(scenario, endpoint_replacements=((2_000.0, 7),), changes=changes or scenario.changes)
 
 
 def play(
     folder: Path, scenario: Scenario | None = None, environment: Environment | None = None
 ) -> EmulationResult:
-    return Emulation(scenario or hard_scenario(), 5, folder, environment=environment).play()
+    return Emulation(scenario or adverse_scenario(), 5, folder, environment=environment).play()
 
 
 @pytest.mark.parametrize(
@@ -70,10 +72,10 @@
     ],
 )
 def test_auditor_of_the_unchanged_courier_finds_no_violation(tmp_path: Path, environment: Environment):
-    played = play(tmp_path, environment=environment)
-    assert played.violations == []
-    assert played.result.refusals > 5
-    assert played.result.delivered > 200
+    emulation_result = play(tmp_path, environment=environment)
+    assert emulation_result.violations == []
+    assert emulation_result.result.refusals > 5
+    assert emulation_result.result.delivered > 200
 
 
 # ---- couriers that break a rule --------------------------------------------------------------------------
@@ -111,7 +113,9 @@
 def ignore_removed_endpoints(patch: pytest.MonkeyPatch) -> None:
     apply = EndpointDirectory.apply
     patch.setattr(
-        EndpointDirectory, "apply", lambda self, news, scope=None: apply(self, dict(news) | {"whole": False})
+        EndpointDirectory,
+        "apply",
+        lambda self, update, scope=None: apply(self, dict(update) | {"whole": False}),
     )
 
 
@@ -130,23 +134,25 @@
 
 
 def change_bodies(patch: pytest.MonkeyPatch) -> None:
-    one = hooks._encode_single
+    encode_single = hooks._encode_single
     patch.setattr(
         hooks,
         "_encode_single",
-        lambda parcels, *rest: one([replace(parcel, body=parcel.body + b"!") for parcel in parcels], *rest),
+        lambda parcels, *rest: encode_single(
+            [replace(parcel, body=parcel.body + b"!") for parcel in parcels], *rest
+        ),
     )
 
 
 def exceed_retry_after(patch: pytest.MonkeyPatch) -> None:
-    error = resp.error_reply
-    patch.setattr(resp, "error_reply", lambda text: error(text.replace("BUSY ", "BUSY 9")))
+    error_reply = resp.error_reply
+    patch.setattr(resp, "error_reply", lambda text: error_reply(text.replace("BUSY ", "BUSY 9")))
 
 
 def reply_twice(patch: pytest.MonkeyPatch) -> None:
-    answer = RequestExecutor._execute
+    execute = RequestExecutor._execute
     patch.setattr(
-        RequestExecutor, "_execute", lambda self, *args: (*answer(self, *args), resp.simple_string("OK"))
+        RequestExecutor, "_execute", lambda self, *args: (*execute(self, *args), resp.simple_string("OK"))
     )
 
 
@@ -207,21 +213,21 @@
     changes: dict[str, object],
 ):
     break_rule(monkeypatch)
-    played = play(tmp_path, hard_scenario(changes))
+    emulation_result = play(tmp_path, adverse_scenario(changes))
     assert rule in RULES
-    assert played.violation_counts[rule] > 0, played.violation_counts
-    violation = next(one for one in played.violations if one.rule is rule)
+    assert emulation_result.violation_counts[rule] > 0, emulation_result.violation_counts
+    violation = next(recorded for recorded in emulation_result.violations if recorded.rule is rule)
     assert violation.at_ms > 0.0
     assert violation.evidence
 
 
-def test_auditor_of_a_long_run_forgets_finished_messages_and_connections(tmp_path: Path):
+def test_auditor_of_a_long_run_removes_finished_messages_and_connections(tmp_path: Path):
     streams = tuple(replace(stream, end=400_000.0) for stream in storm_scenario(0.5).streams)
     partners = PartnerSettings(), PartnerSettings(number=8, listed=12.0)
-    scenario = Scenario(partners, streams, 1, lasts=400_000.0)
+    scenario = Scenario(partners, streams, 1, duration_ms=400_000.0)
     emulation = Emulation(scenario, 1, tmp_path)
-    played = emulation.play()
-    assert played.violations == []
+    emulation_result = emulation.play()
+    assert emulation_result.violations == []
     assert emulation.auditor.accepted_count > 5_000
     assert emulation.auditor.max_known_messages < 2_000
     assert emulation.auditor.open_connection_count < 50
--- a/tests/test_simulation_emulation.py
+++ b/tests/test_simulation_emulation.py
@@ -1,4 +1,4 @@
-"""Emulations: unchanged couriers in virtual time keep the rules through faults and operators' actions."""
+"""Emulations: unchanged couriers in virtual time follow the rules during faults and operators' actions."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from winchspan.dead_letters.records import DeadLetter, DeadLetterState
 from winchspan.dead_letters.store import STORE_FILE_NAME, DeadLetterStore
 from winchspan.dead_letters.store_eviction import StoreBounds
-from winchspan.fakes.partner import Mode, Outage, PartnerSettings
+from winchspan.fakes.partner import Outage, OutageMode, PartnerSettings
 from winchspan.fakes.scenario import Scenario, storm_scenario
 from winchspan.runtime.timers import TimerQueue
 from winchspan.simulation.audit.rules import Rule
@@ -34,11 +34,11 @@
     seed: int = 3,
     duration_ms: float = 20_000.0,
 ) -> EmulationResult:
-    scenario = storm_scenario(0.7, partner=PartnerSettings(), lasts=duration_ms)
-    played = Emulation(scenario, seed, folder, environment=environment).play()
-    result = played.result
+    scenario = storm_scenario(0.7, partner=PartnerSettings(), duration_ms=duration_ms)
+    emulation_result = Emulation(scenario, seed, folder, environment=environment).play()
+    result = emulation_result.result
     assert (result.early, result.double, result.unended, result.falls) == (0, 0, 0, 0)
-    return played
+    return emulation_result
 
 
 PLAY_SCRIPT = """
@@ -55,7 +55,7 @@
 )
 environment = Environment(LinkProfile(1.0, 3.0), is_fragmenting=True, faults=faults)
 played = play(Path(sys.argv[2]), environment, duration_ms=9_000.0)
-print(played.trace, played.event_count)
+print(played.trace_hash, played.event_count)
 """
 
 
@@ -83,25 +83,30 @@
 
 def test_emulation_with_dead_letters_and_kills_redelivers_without_loss_or_duplicate(tmp_path: Path):
     (tmp_path / "kept.sexp").write_text(DEAD_LETTERS_ON)
-    partner = PartnerSettings(outages=(Outage(2_000.0, 9_000.0, Mode.REFUSING),), cold=2_000.0)
-    streams = tuple(replace(s, tries=1) for s in storm_scenario(0.8, lasts=12_000.0).streams)
+    partner = PartnerSettings(outages=(Outage(2_000.0, 9_000.0, OutageMode.REFUSING),), cold=2_000.0)
+    streams = tuple(replace(s, tries=1) for s in storm_scenario(0.8, duration_ms=12_000.0).streams)
     kills = tuple((1_500.0 + 1_303.0 * n, n % 2) for n in range(12))
-    scenario = Scenario((partner, PartnerSettings(number=8)), streams, 2, lasts=30_000.0, restarts=kills)
+    scenario = Scenario(
+        (partner, PartnerSettings(number=8)), streams, 2, duration_ms=30_000.0, restarts=kills
+    )
     environment = Environment(LinkProfile(0.5, 1.0), is_fragmenting=True)
     emulation = Emulation(scenario, 4, tmp_path, tmp_path / "kept.sexp", environment)
-    played = emulation.play()
+    emulation_result = emulation.play()
     dead_letters: list[DeadLetter] = []
     for folder in emulation.data_directories():
         store = DeadLetterStore(folder / STORE_FILE_NAME, StoreBounds(), read_only=True)
         dead_letters += store.find(DeadLetterFilter(), 100_000)
         store.close()
     assert emulation.clients is not None
-    ended = {message.id for message in emulation.clients.messages if message.ended_as}
+    ended = {message.id for message in emulation.clients.messages if message.final_state}
     assert len(ended) > 30
     assert ended <= {letter.id for letter in dead_letters}
     assert sum(letter.state is DeadLetterState.DELIVERED for letter in dead_letters) > 20
-    assert (played.result.double, played.result.twice) == (0, 0)
-    assert (played.violation_counts[Rule.COPY], played.violation_counts[Rule.REPEAT]) == (0, 0)
+    assert (emulation_result.result.double, emulation_result.result.twice) == (0, 0)
+    assert (emulation_result.violation_counts[Rule.COPY], emulation_result.violation_counts[Rule.REPEAT]) == (
+        0,
+        0,
+    )
 
 
 def test_emulation_with_a_control_socket_raises_emulation_error(tmp_path: Path):
@@ -115,7 +120,7 @@
         (tmp_path / name).mkdir()
     first = play(tmp_path / "a", seed=3, duration_ms=5_000.0)
     second = play(tmp_path / "b", seed=4, duration_ms=5_000.0)
-    assert first.trace != second.trace
+    assert first.trace_hash != second.trace_hash
 
 
 @pytest.mark.parametrize(
@@ -199,7 +204,7 @@
 
 def test_courier_that_gets_sigterm_ends_within_its_time(tmp_path: Path):
     emulation = Emulation(
-        storm_scenario(0.7, partner=PartnerSettings(), lasts=8_000.0),
+        storm_scenario(0.7, partner=PartnerSettings(), duration_ms=8_000.0),
         3,
         tmp_path,
         environment=Environment(faults=(InjectedFault(4_000.0, FaultKind.RESTART, "n1", duration_ms=1e9),)),
@@ -270,13 +275,13 @@
 
 @pytest.mark.parametrize("name", OPERATORS_ACTIONS)
 def test_emulation_with_operators_actions_breaks_no_rule(tmp_path: Path, name: str):
-    scenario = storm_scenario(0.7, partner=PartnerSettings(), lasts=20_000.0)
+    scenario = storm_scenario(0.7, partner=PartnerSettings(), duration_ms=20_000.0)
     environment = Environment(LinkProfile(1.0, 2.0), is_fragmenting=True, faults=OPERATORS_ACTIONS[name])
     emulation = Emulation(scenario, 5, tmp_path, environment=environment)
-    played = emulation.play()
-    result = played.result
+    emulation_result = emulation.play()
+    result = emulation_result.result
     assert (result.early, result.double, result.unended, result.falls, result.twice) == (0, 0, 0, 0, 0)
-    assert played.violations == []
+    assert emulation_result.violations == []
     assert result.worth > {"offline": 0.3, "offline and killed": 0.3, "reconfigured": 0.7}.get(name, 0.85)
     upgrades = sum(courier.upgrade_count for courier in emulation._couriers)
     assert upgrades >= {"upgrades": 24, "offline and killed": 0}.get(name, 3)
--- a/tests/test_simulation_environment.py
+++ b/tests/test_simulation_environment.py
@@ -1,4 +1,4 @@
-"""The encoding of an environment, which is part of the address of an experiment's result."""
+"""The encoding of an environment, which is part of the address of stored experiment results."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     (0.01,),
     (5.0,),
 )
-# Written by the landing before the fields had their names of today.
+# Recorded by an earlier version, before the fields were renamed.
 RECORDED_FULL = (
     b'{"way":{"latency":1.0,"jitter":2.0,"bandwidth":3.0,"loss":0.25,"doubled":0.5},'
     b'"ways":[["n0","partner 7",{"latency":0.2,"jitter":0.0,"bandwidth":0.0,"loss":0.0,"doubled":0.0}]],'
--- a/tests/test_simulation_loop.py
+++ b/tests/test_simulation_loop.py
@@ -1,4 +1,4 @@
-"""The event loop in virtual time."""
+"""The event loop in virtual time: timers and deadlock detection."""
 
 from __future__ import annotations
 
--- a/tests/test_simulation_machine.py
+++ b/tests/test_simulation_machine.py
@@ -1,4 +1,4 @@
-"""Emulated machines and their clocks."""
+"""The clocks of emulated machines."""
 
 from __future__ import annotations
 
--- a/tests/test_simulation_network.py
+++ b/tests/test_simulation_network.py
@@ -1,4 +1,4 @@
-"""The emulated network: connections that it delays, fragments, partitions and resets."""
+"""The emulated network: delays, fragmentation, partitions and resets of connections."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RecordingProtocol(asyncio.Protocol):
-    """Records everything that happens to its connection."""
+    """Records the data and the events of its connection."""
 
     def __init__(self) -> None:
         self.data = bytearray()
@@ -27,7 +27,7 @@
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = transport  # type: ignore[assignment]  # the emulated network's are read and written
+        self.transport = transport  # type: ignore[assignment]  # connection ends are both read and write transports
 
     def data_received(self, data: bytes) -> None:
         self.data += data
@@ -47,7 +47,7 @@
 
 
 class TwoMachines:
-    """Two machines, a client `a` and a server `b`."""
+    """Two machines: the client's machine `a`, and the server's machine `b`."""
 
     def __init__(self, link: LinkProfile | None = None, *, is_fragmenting: bool = False) -> None:
         self.loop = EmulatedLoop()
@@ -56,7 +56,7 @@
         self.b = Machine(self.network, "b")
         self.client = self.a.start_program()
         self.server = self.b.start_program()
-        self.loop.outside = Incarnation(self.network, MachineClock(self.loop), "outside")
+        self.loop.connection_provider = Incarnation(self.network, MachineClock(self.loop), "outside")
 
     def run(self, scenario: Callable[[], Awaitable[None]]) -> None:
         try:
@@ -68,7 +68,7 @@
             self.loop.close()
 
     async def connect(self) -> tuple[RecordingProtocol, RecordingProtocol]:
-        """Connect `a` to `b`, and return the protocols of both."""
+        """Connect `a` to `b`; return the protocols of both ends."""
         accepted: list[RecordingProtocol] = []
 
         def accept() -> RecordingProtocol:
@@ -120,12 +120,12 @@
     machines.run(scenario)
 
 
-def test_network_cut_in_one_direction_holds_its_bytes_and_passes_the_other():
+def test_network_partitioned_in_one_direction_holds_its_bytes_and_delivers_the_others():
     machines = TwoMachines()
 
     async def scenario() -> None:
         a, b = await machines.connect()
-        machines.network.links.cut(LinkId("a", "b"))
+        machines.network.links.partition(LinkId("a", "b"))
         a.transport.write(b"one")
         b.transport.write(b"two")
         await asyncio.sleep(30)
@@ -156,7 +156,7 @@
         d.transport.close()
         await asyncio.sleep(1)
         assert c.events == ["ConnectionResetError"]
-        assert machines.network.open_end_count == 0
+        assert machines.network.open_connection_end_count == 0
 
     machines.run(scenario)
 
@@ -177,7 +177,7 @@
         machines.b.power_on()
         a.transport.write(b"and now?")
         await asyncio.sleep(1)
-        assert a.events == ["ConnectionResetError"], "bytes for the old program are answered with a reset"
+        assert a.events == ["ConnectionResetError"], "data for the old program is answered with a reset"
         with pytest.raises(ConnectionRefusedError):
             await machines.client.create_connection(RecordingProtocol, "", SERVER_PORT)
         machines.server = machines.b.start_program()
--- a/tests/test_simulation_wire_parsers.py
+++ b/tests/test_simulation_wire_parsers.py
@@ -1,4 +1,4 @@
-"""The auditor's parsers of RESP2 and HTTP/1.1."""
+"""The auditor's parsers of RESP2 and HTTP/1.1, with streams that are split at arbitrary positions."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def split(data: bytes, cuts: list[int]) -> list[bytes]:
-    """Split bytes at some positions, modulo their length."""
+    """Split bytes at some positions, which are taken modulo the length plus one."""
     bounds = [0, *sorted(cut % (len(data) + 1) for cut in cuts), len(data)]
     return [data[begin:end] for begin, end in pairwise(bounds)]
 
--- a/tests/test_storage_journal.py
+++ b/tests/test_storage_journal.py
@@ -153,11 +153,12 @@
     disk.is_full = False
     assert journal.flush_backlog()
     journal.close_without_flush()
-    again = {e.id: e for e in Journal(tmp_path, LIMIT).open_messages}
-    assert set(again) == {"m1", "m2", "m3"}
-    assert (again["m1"].in_flight_since_ms, again["m1"].first_executed_at_ms) == (None, 5.0) and again[
-        "m2"
-    ].pending_notification == "failed"
+    reopened_entries = {e.id: e for e in Journal(tmp_path, LIMIT).open_messages}
+    assert set(reopened_entries) == {"m1", "m2", "m3"}
+    assert (reopened_entries["m1"].in_flight_since_ms, reopened_entries["m1"].first_executed_at_ms) == (
+        None,
+        5.0,
+    ) and reopened_entries["m2"].pending_notification == "failed"
 
 
 def test_backlog_is_dropped_by_compaction_that_covers_it(tmp_path: Path):
@@ -194,11 +195,11 @@
             for fd in disk.descriptors:
                 with contextlib.suppress(OSError):
                     os.close(fd)
-        again = Journal(folder, LIMIT)
-        assert recorded <= set(entries(again)) <= recorded | uncertain
+        reopened = Journal(folder, LIMIT)
+        assert recorded <= set(entries(reopened)) <= recorded | uncertain
         assert len(list(folder.iterdir())) == 1, "the replaced file is removed"
         compacted_count += not (folder / FILE).exists()
-        again.close()
+        reopened.close()
         if disk.calls_left > 0:
             break
     assert disk.calls_left > 0 and compacted_count > 20
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -80,7 +80,7 @@
     partner.hold_calls(*ENDPOINTS)
     ids = submit_notices(fleet, "n1", 30)
     assert len(ids) == 30
-    fleet.act("lose" if is_data_lost else "kill", "n1")
+    fleet.execute_action("lose" if is_data_lost else "kill", "n1")
     partner.release_calls()
     wait_for_final_answers(partner, ids)
     assert_delivered_once(partner, ids)
@@ -155,7 +155,7 @@
     partner.hold_calls("s-0")
     ids = [submit_payment(fleet, "n1", KEY) for _ in range(3)]
     wait_for("the first is in flight", lambda: has_started(partner, ids[0]))
-    fleet.act("lose" if is_data_lost else "kill", "n1")
+    fleet.execute_action("lose" if is_data_lost else "kill", "n1")
     wait_for_claims(fleet)
     ids += [submit_payment(fleet, "n2", KEY), submit_payment(fleet, "n0", KEY)]
     of_other_key = submit_payment(fleet, "n2", KEY + 1)
@@ -284,9 +284,9 @@
     try:
         fleet.endpoints.service_seconds = 1.0
         fleet.start()
-        fleet.until(
+        fleet.wait_until(
             "all accept messages",
-            lambda: all(member.figures().get("fleet.copies.mine") for member in fleet.members.values()),
+            lambda: all(member.metrics().get("fleet.copies.mine") for member in fleet.members.values()),
         )
         deadlines_seconds = {DEPOSIT: 24.0, PAYMENT: 24.0, NOTICE: 9.0}
         load = ClientLoad(
@@ -295,7 +295,7 @@
         clients = fleet.loop.create_task(load.run())
         fail_and_recover(fleet, failure)
         load.stop()
-        fleet.until("all clients have ended", clients.done)
+        fleet.wait_until("all clients have ended", clients.done)
         fleet.run(30.0)
         assert load.accepted
         return audit_deliveries(fleet.endpoints, load).violations
@@ -313,14 +313,16 @@
         awaiting_count = len(engine.awaiting_replication)
         return engine.in_flight_count > awaiting_count > 0 and engine.held_count >= 8
 
-    fleet.until("n1 has calls in flight, and an attempt that waits for replication", is_busy, step=0.0002)
-    fleet.act(failure, "n1")
-    fleet.until(
+    fleet.wait_until(
+        "n1 has calls in flight, and an attempt that waits for replication", is_busy, step=0.0002
+    )
+    fleet.execute_action(failure, "n1")
+    fleet.wait_until(
         "another takes over its messages",
-        lambda: any(member.figures().get("fleet.copies.taken_over") for member in fleet.members.values()),
+        lambda: any(member.metrics().get("fleet.copies.taken_over") for member in fleet.members.values()),
     )
-    fleet.act("thaw" if failure == "freeze" else "start", "n1")
-    fleet.until("all have recovered", fleet.whole)
+    fleet.execute_action("thaw" if failure == "freeze" else "start", "n1")
+    fleet.wait_until("all have recovered", fleet.are_all_alive)
 
 
 @pytest.mark.parametrize("failure", ["kill", "freeze"])
@@ -359,9 +361,9 @@
         fleet: EmulatedFleet, failures: dict[str, FailureKind], _rng: random.Random
     ) -> None:
         for name in failures:
-            fleet.act("lose", name)
+            fleet.execute_action("lose", name)
             fleet.run(0.6)
-            fleet.act("start", name)
+            fleet.execute_action("start", name)
 
     monkeypatch.setattr("winchspan.fakes.courier_failures.inject_failure_round", restart_without_data)
     report = simulate_failures(FailureScenario(tmp_path, 3, 4, 1))
--- a/tests/test_takeover_steps.py
+++ b/tests/test_takeover_steps.py
@@ -16,7 +16,7 @@
 from winchspan.fakes.courier_failures import DESTINATION_COUNT, audit_deliveries, make_emulated_fleet
 from winchspan.fakes.fleet import Fleet, ProcessFleetOptions
 from winchspan.fakes.fleet_courier import wait_for
-from winchspan.fakes.platform import KIND
+from winchspan.fakes.platform import ENDPOINT_KIND
 from winchspan.fakes.recording_endpoints import FinalAnswer, ThreadedRecordingEndpoints
 from winchspan.fakes.submission import Submission, submit_message
 
@@ -166,7 +166,7 @@
         fleet.cut("n1", name)
     partner.release_calls()
     wait_for("it is delivered", lambda: partner.delivery_counts[id_] == 1)
-    fleet.act("lose", "n1")  # frames that its links still buffer are lost
+    fleet.execute_action("lose", "n1")  # frames that its links still buffer are lost
     wait_for("another has sent its notification", lambda: partner.notification_counts[id_] > 0)
     assert partner.delivery_counts[id_] == 1 and partner.first_final_answers[id_] is FinalAnswer.DELIVERED
 
@@ -199,7 +199,7 @@
             known_endpoints=partner.endpoint_list(),
             settings_changes={
                 "classes": MESSAGE_CLASSES,
-                "kinds": {KIND: api.DestinationKind(messages_per_call=10)},
+                "kinds": {ENDPOINT_KIND: api.DestinationKind(messages_per_call=10)},
             },
         ),
     )
@@ -238,7 +238,7 @@
     id_ = "00000000000000a4"
     submission = Submission(id_, NOTICE, 0, NOTICE_DEADLINE_MS, TOKEN, body=b"x" * 65_000)
     assert submit_message(fleet["n1"].client_port, submission) == ACCEPTED
-    fleet.act("lose", "n1")
+    fleet.execute_action("lose", "n1")
     partner.release_calls()
     wait_for_final_answers(partner, [id_])
     assert_delivered_once(partner, [id_])
@@ -249,7 +249,7 @@
 ):
     fleet["n1"].post_admin("endpoints/s-0/offline")
     ids = [submit_payment(fleet, "n1", KEY) for _ in range(2)]
-    fleet.act("lose", "n1")
+    fleet.execute_action("lose", "n1")
     wait_for_takeover(fleet, OTHERS)
     successor = next(name for name in OTHERS if fleet[name].read_metrics().get("fleet.copies.taken_over"))
     wait_for(
@@ -271,15 +271,14 @@
     replica = replica_of(fleet, owner)
     fleet.cut(owner, replica)
     fleet.cut(replica, owner)
-    submit_payment_in_background(
-        fleet, "00000000000000a6", owner
-    )  # the cut is detected only when a record is sent
+    # The cut is detected only when a record is sent.
+    submit_payment_in_background(fleet, "00000000000000a6", owner)
     wait_for("it has another replica", lambda: replica_of(fleet, owner) != replica)
     ids = [submit_payment(fleet, owner, KEY) for _ in range(3)]
     wait_for_final_answers(partner, ids)
     assert_delivered_once(partner, ids)
     fleet.heal()
-    wait_for("all are alive", fleet.whole)
+    wait_for("all are alive", fleet.are_all_alive)
     wait_for_no_takeover(fleet)
 
 
@@ -302,7 +301,7 @@
         self.fleet = make_emulated_fleet(directory, size, 1, f"(copies {replica_count})")
         self.fleet.endpoints.service_seconds = 0.3
         self.fleet.start()
-        self.fleet.until(
+        self.fleet.wait_until(
             "all accept messages", lambda: all(self.replication_metric(n, "mine") for n in self.fleet.names)
         )
         self.fleet.run(3.0)
@@ -311,7 +310,7 @@
         self.fleet.run(1.0)
 
     def replication_metric(self, name: str, metric: str) -> int:
-        return self.fleet.members[name].figures().get(f"fleet.copies.{metric}", 0)
+        return self.fleet.members[name].metrics().get(f"fleet.copies.{metric}", 0)
 
     def replicas_of(self, name: str) -> tuple[str, ...]:
         """Return the couriers that hold replicas of a courier's journal, by the lease table."""
@@ -329,7 +328,7 @@
 
     def is_leader(self, name: str) -> bool:
         """Return whether a courier reports that it is the consensus leader."""
-        return bool(self.fleet.members[name].figures().get("fleet.agreement.leads"))
+        return bool(self.fleet.members[name].metrics().get("fleet.agreement.leads"))
 
     def successor_of(self, owner: str) -> str:
         """Return the holder of the lease on another courier's journal; empty if there is none."""
@@ -337,7 +336,7 @@
             (
                 name
                 for name in self.fleet.names
-                if name != owner and self.fleet.members[name].figures().get(f"fleet.duty.work-{owner}")
+                if name != owner and self.fleet.members[name].metrics().get(f"fleet.duty.work-{owner}")
             ),
             "",
         )
@@ -345,12 +344,12 @@
     def assert_all_recover(self) -> None:
         """Repair all faults, and assert that each accepted message gets one final answer."""
         for name in self.fleet.names:
-            self.fleet.act("thaw", name)
-            self.fleet.act("start", name)
-        self.fleet.until("all have recovered", self.fleet.whole)
+            self.fleet.execute_action("thaw", name)
+            self.fleet.execute_action("start", name)
+        self.fleet.wait_until("all have recovered", self.fleet.are_all_alive)
         self.fleet.run(2.0)
         self.load.stop()
-        self.fleet.until("all clients have ended", self.clients.done)
+        self.fleet.wait_until("all clients have ended", self.clients.done)
         self.fleet.run(30.0)
         assert len(self.load.accepted) > 50
         assert audit_deliveries(self.fleet.endpoints, self.load).violations == {}
@@ -366,48 +365,50 @@
 def test_takeover_owner_and_one_of_two_replicas_lost_together(simulated: SimulatedFleet):
     first, second = simulated.replicas_of("n1")
     for name in ("n1", first):
-        simulated.fleet.act("lose", name)
-    simulated.fleet.until(
+        simulated.fleet.execute_action("lose", name)
+    simulated.fleet.wait_until(
         "the other takes over", lambda: simulated.replication_metric(second, "taken_over") >= 1
     )
     simulated.assert_all_recover()
 
 
 def test_takeover_survives_the_failure_of_two_successors(simulated: SimulatedFleet):
-    simulated.fleet.act("kill", "n1")
+    simulated.fleet.execute_action("kill", "n1")
     for _ in range(2):
-        simulated.fleet.until("n1 has a successor", lambda: bool(simulated.successor_of("n1")), step=0.005)
+        simulated.fleet.wait_until(
+            "n1 has a successor", lambda: bool(simulated.successor_of("n1")), step=0.005
+        )
         name = simulated.successor_of("n1")
-        simulated.fleet.act("kill", name)
+        simulated.fleet.execute_action("kill", name)
         simulated.fleet.run(0.5)
-        simulated.fleet.act("start", name)
-        simulated.fleet.until(
+        simulated.fleet.execute_action("start", name)
+        simulated.fleet.wait_until(
             "the next takeover begins, or this one is complete",
             lambda name=name: (
                 not simulated.successor_of("n1")  # type: ignore[misc]
                 or simulated.successor_of("n1") != name
                 or simulated.replication_metric(name, "taken_over") > 0
             ),
-            step=0.005,
+            step_seconds=0.005,
         )
     simulated.assert_all_recover()
 
 
 def test_takeover_twice_in_a_row_and_then_the_first_owner_resumes(simulated: SimulatedFleet):
-    simulated.fleet.act("freeze", "n1")
-    simulated.fleet.until(
+    simulated.fleet.execute_action("freeze", "n1")
+    simulated.fleet.wait_until(
         "another takes over its messages",
         lambda: any(simulated.replication_metric(n, "taken_over") for n in simulated.fleet.names),
     )
     first = next(n for n in simulated.fleet.names if simulated.replication_metric(n, "taken_over"))
-    simulated.fleet.act("freeze", first)
-    simulated.fleet.until(
+    simulated.fleet.execute_action("freeze", first)
+    simulated.fleet.wait_until(
         "another takes over both",
         lambda: any(
             simulated.replication_metric(n, "taken_over") for n in simulated.fleet.names if n != first
         ),
     )
-    simulated.fleet.act("thaw", "n1")
+    simulated.fleet.execute_action("thaw", "n1")
     simulated.fleet.run(3.0)
     simulated.assert_all_recover()
 
@@ -436,12 +437,12 @@
     try:
         owner = owner_by_replica(simulated, at_leader)
         replica = cut_replica(simulated, owner)
-        simulated.fleet.until(
+        simulated.fleet.wait_until(
             "another replica is chosen",
             lambda: replica not in simulated.replicas_of(owner),
             timeout_seconds=30.0,
         )
-        simulated.fleet.until(
+        simulated.fleet.wait_until(
             "the owner accepts messages",
             lambda: bool(simulated.replication_metric(owner, "mine")),
             timeout_seconds=30.0,
@@ -465,8 +466,8 @@
     """A change of the leader would delay the takeover and all lease renewals."""
     leader = simulated.leader()
     killed = next(name for name in simulated.fleet.names if name != leader)
-    simulated.fleet.act("kill", killed)
-    simulated.fleet.until(
+    simulated.fleet.execute_action("kill", killed)
+    simulated.fleet.wait_until(
         "another takes over its messages",
         lambda: any(
             simulated.replication_metric(name, "taken_over")
@@ -480,13 +481,15 @@
 
 def test_replica_with_a_full_disk_is_replaced(simulated: SimulatedFleet):
     replica, _ = simulated.replicas_of("n1")
-    simulated.fleet.act("fill", replica)
-    simulated.fleet.until("other replicas are chosen", lambda: replica not in simulated.replicas_of("n1"))
+    simulated.fleet.execute_action("fill", replica)
+    simulated.fleet.wait_until(
+        "other replicas are chosen", lambda: replica not in simulated.replicas_of("n1")
+    )
     earlier_count = len(simulated.load.accepted)
     simulated.fleet.run(3.0)
     accepted = list(simulated.load.accepted.values())
     assert sum(message.courier == "n1" for message in accepted[earlier_count:]) > 3
-    simulated.fleet.act("room", replica)
+    simulated.fleet.execute_action("room", replica)
     simulated.assert_all_recover()
 
 
@@ -500,7 +503,7 @@
             if other != "n1":
                 simulated.fleet.cut("n1", other)
                 simulated.fleet.cut(other, "n1")
-        simulated.fleet.until(
+        simulated.fleet.wait_until(
             "another takes over its messages",
             lambda: any(simulated.replication_metric(n, "taken_over") for n in simulated.fleet.names),
         )
--- a/tests/test_upgrade_processes.py
+++ b/tests/test_upgrade_processes.py
@@ -14,13 +14,21 @@
 
 import pytest
 
-from examples.submit import request
+from examples.submit import encode_submit
 from winchspan.config.platform import ConfigError, load_platform_config
 from winchspan.upgrade.errors import HandOverError
 from winchspan.upgrade.fingerprint import program_fingerprint
 from winchspan.upgrade.hand_over_client import receive_hand_over
 
-from .test_end_to_end import PATIENCE, ROOT, Partner, ask, partner, start, wait_for
+from .test_end_to_end import (
+    ROOT,
+    WAIT_TIMEOUT_SECONDS,
+    Partner,
+    partner,
+    send_request,
+    start_courier,
+    wait_for,
+)
 
 __all__ = ["partner"]  # a fixture
 
@@ -45,10 +53,12 @@
             thread.start()
 
     def _submit_messages(self, port: int, client_index: int) -> None:
-        with socket.create_connection(("127.0.0.1", port), timeout=PATIENCE) as connection:
+        with socket.create_connection(("127.0.0.1", port), timeout=WAIT_TIMEOUT_SECONDS) as connection:
             lines = connection.makefile("rb")
             while not self._stop_event.wait(0.002):
-                connection.sendall(request("order-payment", "7", "x", f"{client_index + 1:016x}", 1_200_000))
+                connection.sendall(
+                    encode_submit("order-payment", "7", "x", f"{client_index + 1:016x}", 1_200_000)
+                )
                 if line := lines.readline():
                     self.answers.append(line)
                 else:
@@ -58,7 +68,7 @@
     def stop(self) -> None:
         self._stop_event.set()
         for thread in self._threads:
-            thread.join(PATIENCE)
+            thread.join(WAIT_TIMEOUT_SECONDS)
 
 
 def copy_with_changed_scheduler(folder: Path) -> Path:
@@ -73,11 +83,11 @@
 def test_upgrades_under_load_lose_no_request_and_complete_each_message_once(
     tmp_path: Path, partner: ThreadingHTTPServer, differ: bool
 ):
-    Partner.open.set()
+    Partner.may_answer.set()
     other = copy_with_changed_scheduler(tmp_path / "other") if differ else ROOT
     sock = listening_socket()
     port, running = int(sock.getsockname()[1]), []
-    running.append(start(tmp_path, port, partner.server_port, socket_fd=sock.fileno()))
+    running.append(start_courier(tmp_path, port, partner.server_port, socket_fd=sock.fileno()))
     clients = Clients(port)
     try:
         for number in range(3):
@@ -85,7 +95,7 @@
             wait_for("load", lambda count=answer_count: len(clients.answers) > count + 40)
             (tmp_path / "log").write_bytes(b"")
             running.append(
-                start(
+                start_courier(
                     tmp_path,
                     port,
                     partner.server_port,
@@ -94,7 +104,7 @@
                     root=ROOT if number % 2 else other,
                 )
             )
-            assert running[number].wait(PATIENCE) == 0, "the old process exits by itself"
+            assert running[number].wait(WAIT_TIMEOUT_SECONDS) == 0, "the old process exits by itself"
             assert (b"recovered" if differ else b"took over") in (tmp_path / "log").read_bytes()
             assert (b"decides differently" in (tmp_path / "log").read_bytes()) == differ
         answer_count = len(clients.answers)
@@ -103,7 +113,7 @@
         accepted_count = clients.answers.count(b"+OK\r\n")
         wait_for(
             "all messages are completed",
-            lambda: len(Partner.answered) + len(set(Partner.ended)) >= accepted_count,
+            lambda: len(Partner.answered) + len(set(Partner.notified)) >= accepted_count,
         )
     finally:
         clients.stop()
@@ -112,18 +122,20 @@
             process.wait()
         sock.close()
     assert clients.closed_count == 0
-    assert len(Partner.begun) == len(set(Partner.begun)) and not set(Partner.begun) & set(Partner.ended)
-    assert len(Partner.begun) + len(set(Partner.ended)) == accepted_count
+    assert len(Partner.received) == len(set(Partner.received)) and not set(Partner.received) & set(
+        Partner.notified
+    )
+    assert len(Partner.received) + len(set(Partner.notified)) == accepted_count
 
 
 def test_new_process_that_dies_during_the_hand_over_leaves_the_old_one_serving(
     tmp_path: Path, partner: ThreadingHTTPServer
 ):
     """The new process dies before its request, during it, after it, and with the state received."""
-    Partner.open.set()
+    Partner.may_answer.set()
     sock = listening_socket()
     port = int(sock.getsockname()[1])
-    courier = start(tmp_path, port, partner.server_port, socket_fd=sock.fileno())
+    courier = start_courier(tmp_path, port, partner.server_port, socket_fd=sock.fileno())
     state = tmp_path / "state"
 
     try:
@@ -131,7 +143,7 @@
             with socket.socket(socket.AF_UNIX) as connection:
                 connection.connect(str(state / "upgrade.sock"))
                 connection.sendall(words)
-            assert ask(port, request("order-payment", "7", "x")) == b"+OK\r\n"
+            assert send_request(port, encode_submit("order-payment", "7", "x")) == b"+OK\r\n"
         for fingerprint in ("another", program_fingerprint()):  # dies after it received the state
             for _ in range(3):
                 read: list[bytes] = []
@@ -146,10 +158,10 @@
                         receive_hand_over(state, fingerprint, fail_to_read) is None and read
                     ),
                 )
-                assert ask(port, request("order-payment", "7", "x")) == b"+OK\r\n"
+                assert send_request(port, encode_submit("order-payment", "7", "x")) == b"+OK\r\n"
         assert courier.poll() is None
         courier.send_signal(signal.SIGTERM)
-        assert courier.wait(PATIENCE) == 0
+        assert courier.wait(WAIT_TIMEOUT_SECONDS) == 0
     finally:
         courier.kill()
         courier.wait()
@@ -161,14 +173,16 @@
 ):
     sock = listening_socket()
     port = int(sock.getsockname()[1])
-    courier = start(tmp_path, port, partner.server_port, socket_fd=sock.fileno())
+    courier = start_courier(tmp_path, port, partner.server_port, socket_fd=sock.fileno())
     try:
-        assert ask(port, request("order-payment", "7", "x", f"{1:016x}", 1_200_000)) == b"+OK\r\n"
-        wait_for("a call is in flight", lambda: Partner.begun)
+        assert (
+            send_request(port, encode_submit("order-payment", "7", "x", f"{1:016x}", 1_200_000)) == b"+OK\r\n"
+        )
+        wait_for("a call is in flight", lambda: Partner.received)
         (tmp_path / "state" / "upgrade.sock").unlink()  # like an old version without hand-over
         courier.kill()
-        Partner.open.set()
-        successor = start(tmp_path, port, partner.server_port, socket_fd=sock.fileno())
+        Partner.may_answer.set()
+        successor = start_courier(tmp_path, port, partner.server_port, socket_fd=sock.fileno())
         courier.wait()
         try:
             wait_for("delivered in the new process", lambda: len(Partner.answered) == 2)
@@ -185,11 +199,13 @@
 ):
     sock = listening_socket()
     port, state = int(sock.getsockname()[1]), tmp_path / "state"
-    courier = start(tmp_path, port, partner.server_port, socket_fd=sock.fileno())
+    courier = start_courier(tmp_path, port, partner.server_port, socket_fd=sock.fileno())
     successor = None
     try:
-        assert ask(port, request("order-payment", "7", "x", f"{1:016x}", 1_200_000)) == b"+OK\r\n"
-        wait_for("a call is in flight", lambda: Partner.begun)
+        assert (
+            send_request(port, encode_submit("order-payment", "7", "x", f"{1:016x}", 1_200_000)) == b"+OK\r\n"
+        )
+        wait_for("a call is in flight", lambda: Partner.received)
 
         def kill(_state: bytes) -> None:
             courier.kill()
@@ -198,8 +214,8 @@
         assert receive_hand_over(state, program_fingerprint(), kill) is None, (
             "the old process has not committed"
         )
-        Partner.open.set()
-        successor = start(tmp_path, port, partner.server_port, socket_fd=sock.fileno())
+        Partner.may_answer.set()
+        successor = start_courier(tmp_path, port, partner.server_port, socket_fd=sock.fileno())
         wait_for("delivered by the next process", lambda: len(Partner.answered) == 2)
         assert len(set(Partner.answered)) == 1
     finally:
--- a/tests/test_upgrade_server.py
+++ b/tests/test_upgrade_server.py
@@ -10,7 +10,7 @@
 from winchspan.upgrade.hand_over_client import receive_hand_over
 from winchspan.upgrade.hand_over_server import HandOverServer
 
-from .test_end_to_end import PATIENCE
+from .test_end_to_end import WAIT_TIMEOUT_SECONDS
 
 
 def test_exception_during_the_export_resumes_the_courier(tmp_path: Path):
@@ -33,7 +33,7 @@
         server = HandOverServer(tmp_path, "f", actions, lambda: 0.0)  # type: ignore[arg-type]
         server.listen(asyncio.get_running_loop())
         assert await asyncio.to_thread(receive_hand_over, tmp_path, "f", lambda data: None) is None
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(WAIT_TIMEOUT_SECONDS):
             while "resume" not in actions.performed:
                 await asyncio.sleep(0.001)
         server.close()
--- a/winchspan/admin/__init__.py
+++ b/winchspan/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' HTTP server: one HTTP/1.1 request per connection, at an address of its own."""
+"""The operators' HTTP server: handles one HTTP/1.1 request per connection, on a separate address."""
--- a/winchspan/admin/connection.py
+++ b/winchspan/admin/connection.py
@@ -1,4 +1,4 @@
-"""One connection of an operator: a request, its response, and the close."""
+"""The server's side of one operator connection: receives a request, sends its response and closes."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
 from winchspan.runtime.timers import Timer, TimerQueue
 
 REQUEST_TIMEOUT_MS: Final = 2_000.0
-"""From connecting to the last byte of the request."""
+"""Maximum time from the connect to the last byte of the request."""
 
 RESPONSE_TIMEOUT_MS: Final = 1_000.0
-"""For the client to read its response and close."""
+"""Maximum time for the client to read the response and close the connection."""
 
 _INITIAL_BUFFER_BYTES: Final = 1024
 
 
 class ConnectionOwner(Protocol):
-    """The server, as one of its connections sees it."""
+    """Interface of the server to its connections."""
 
     timers: TimerQueue
 
     def handle(self, request: AdminRequest) -> OperationResult:
-        """Execute what a request asks for."""
+        """Execute the operation of a request."""
 
     def remove(self, connection: AdminConnection) -> None:
-        """Forget a connection that is closed."""
+        """Unregister a closed connection."""
 
 
 class AdminConnection(asyncio.BufferedProtocol):
-    """One connection.
+    """One connection of an operator.
 
     Attributes:
-        is_answered: whether its response has been written.
+        is_answered: whether the response has been written.
     """
 
     def __init__(self, owner: ConnectionOwner) -> None:
@@ -55,17 +55,17 @@
         self.is_answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Release what the connection holds."""
+        """Cancel the timeout and unregister the connection."""
         self._timeout.cancel()
         self._owner.remove(self)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return where the next bytes go; what follows an answered request is overwritten."""
+        """Return the unused part of the receive buffer; bytes after an answered request are discarded."""
         if self.is_answered:
             self._received_bytes = 0
         elif self._received_bytes == len(self._buffer):
@@ -88,11 +88,11 @@
             self._respond(OperationResult(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the call is too long\n"))
 
     def eof_received(self) -> bool:
-        """Return whether to keep the connection: a client that sends no more may still read."""
+        """Return whether to keep the connection open, because the client may still read its response."""
         return self.is_answered
 
     def close(self) -> None:
-        """Close at once; may be called twice."""
+        """Close the connection at once; further calls have no effect."""
         if self._transport is not None:
             self._transport.abort()
         else:
@@ -101,7 +101,8 @@
     def _respond(self, result: OperationResult) -> None:
         """Write the response and shut down the sending side.
 
-        Guards against a reset: closing while the client still sends would take the response from it.
+        Closing the connection while the client still sends would cause a reset, and the client could lose the
+        response.
         """
         self.is_answered = True
         self._timeout.cancel()
@@ -113,5 +114,5 @@
         self._timeout = self._owner.timers.call_later(RESPONSE_TIMEOUT_MS, self.close)
 
     def _request_timed_out(self) -> None:
-        """Guard against clients that send nothing, or part of a request, and stay."""
+        """Answer a client that has not sent a complete request in time."""
         self._respond(OperationResult(HTTPStatus.REQUEST_TIMEOUT, "the call did not come whole\n"))
--- a/winchspan/admin/operations.py
+++ b/winchspan/admin/operations.py
@@ -1,4 +1,4 @@
-"""What operators can ask of a courier, without I/O; the HTTP server and the control socket offer it."""
+"""The operators' operations on a courier, without I/O; the HTTP server and the control socket expose them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Operation(Enum):
-    """An operation; its value is its name in HTTP paths and control commands."""
+    """An operation of an operator; the value is its name in HTTP paths and control commands."""
 
     READY = "ready"
     COUNTERS = "counters"
@@ -24,17 +24,17 @@
 
     @property
     def is_read_only(self) -> bool:
-        """Whether it changes nothing."""
+        """Whether the operation leaves the courier's state unchanged."""
         return self in (Operation.READY, Operation.COUNTERS)
 
     @property
     def needs_endpoint(self) -> bool:
-        """Whether it acts on one endpoint."""
+        """Whether the operation acts on one endpoint."""
         return self in (Operation.OFFLINE, Operation.ONLINE)
 
 
 class ServingState(Enum):
-    """Whether a process serves, and if not, why; operators read the value."""
+    """Phase of a courier process; readiness checks return its value while the process does not serve."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -42,12 +42,12 @@
 
 
 class OperationResult(NamedTuple):
-    """The outcome of an operation, or of a request that names none.
+    """The result of an operation, or of a request without a valid operation.
 
     Attributes:
-        status: as HTTP has it.
-        text: the response's body, each line ended.
-        allowed_method: the method that would have been right, if it was another one.
+        status: HTTP status of the response.
+        text: body of the response; each line ends with a newline.
+        allowed_method: method that the path requires, if the request used another; else empty.
     """
 
     status: HTTPStatus
@@ -56,7 +56,7 @@
 
     @property
     def is_success(self) -> bool:
-        """Whether the operation was executed, with "yes" for an answer."""
+        """Whether the status is a success (2xx)."""
         return HTTPStatus.OK <= self.status < HTTPStatus.MULTIPLE_CHOICES
 
 
@@ -64,28 +64,28 @@
 
 
 def is_endpoint_name(name: str) -> bool:
-    """Return whether a text may be an endpoint's name."""
+    """Return whether a text has the format of an endpoint name."""
     return _ENDPOINT_NAME.fullmatch(name) is not None
 
 
 class EndpointSwitch(Protocol):
-    """The endpoint directory, as far as operators take endpoints offline."""
+    """Interface of the endpoint directory to take endpoints offline and bring them online."""
 
     def knows(self, name: str) -> bool:
-        """Return whether an endpoint was ever in the endpoint list."""
+        """Return whether an endpoint is or was in the endpoint list."""
 
     def take_offline(self, name: str) -> bool:
-        """Drain an endpoint whatever discovery says; return False if too many are offline."""
+        """Drain an endpoint regardless of discovery; return False if too many endpoints are offline."""
 
     def bring_online(self, name: str) -> None:
-        """Undo that."""
+        """Follow discovery again for an endpoint that was taken offline."""
 
 
 class ClientDrain(Protocol):
-    """The client connections, as far as operators drain them.
+    """Interface of the client connections to drain them.
 
     Attributes:
-        is_out_of_service: whether a drain has begun and not ended.
+        is_out_of_service: whether a drain is in progress.
     """
 
     is_out_of_service: bool
@@ -94,18 +94,18 @@
         """Reject health checks, and close idle connections."""
 
     def end_drain(self) -> None:
-        """Accept again."""
+        """Accept health checks and connections again."""
 
 
 @dataclass(slots=True)
 class Operations:
-    """The operators' operations on one courier; each may be repeated.
+    """The operators' operations on one courier; all are idempotent.
 
     Attributes:
-        endpoints: what endpoints are taken offline in.
-        clients: what is drained.
-        render_metrics: returns the metrics of this moment, one a line.
-        serving_state: returns whether the process serves.
+        endpoints: endpoint directory of the courier.
+        clients: client connections of the courier.
+        render_metrics: returns the current metrics, one per line.
+        serving_state: returns the phase of the process.
     """
 
     endpoints: EndpointSwitch
@@ -117,8 +117,8 @@
         """Execute an operation.
 
         Args:
-            operation: which one.
-            endpoint_name: the endpoint that it acts on, unchecked; ignored if it acts on none.
+            operation: operation to execute.
+            endpoint_name: name of the endpoint, not validated; ignored by operations without an endpoint.
         """
         match operation:
             case Operation.READY:
--- a/winchspan/admin/request.py
+++ b/winchspan/admin/request.py
@@ -8,13 +8,13 @@
 from typing import Final, NamedTuple
 
 MAX_HEAD_BYTES: Final = 8 * 1024
-"""Of a request line and its headers, with the empty line behind them."""
+"""Maximum size of a request line and its headers, including the empty line after them."""
 
 MAX_BODY_BYTES: Final = 16 * 1024
-"""Of a body, which is read and ignored: no operation has one."""
+"""Maximum size of a body, which is read and ignored because no operation has one."""
 
 _HEAD_END: Final = b"\r\n\r\n"
-_MAX_LENGTH_DIGITS: Final = 9  # of a Content-Length that is read
+_MAX_LENGTH_DIGITS: Final = 9  # maximum number of digits of a valid Content-Length
 _METHOD: Final = re.compile(rb"[A-Z]{1,16}")
 _HEADER_NAME: Final = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
 _REASON_PHRASES: Final = {
@@ -29,15 +29,15 @@
     HTTPStatus.INTERNAL_SERVER_ERROR: "Internal Server Error",
     HTTPStatus.SERVICE_UNAVAILABLE: "Service Unavailable",
 }
-"""As RFC 9110 has them; those of `http.HTTPStatus` change with Python's version."""
+"""Reason phrases of RFC 9110, because those of `http.HTTPStatus` depend on the version of Python."""
 
 
 class RequestError(Exception):
-    """The bytes are no request that is read; the message says why, in one line.
+    """The received bytes are not a valid request; the message gives the cause in one line.
 
     Attributes:
-        status: of the response.
-        reason: the message.
+        status: HTTP status of the response.
+        reason: message of the error.
     """
 
     def __init__(self, status: HTTPStatus, reason: str) -> None:
@@ -47,35 +47,35 @@
 
 
 class AdminRequest(NamedTuple):
-    """A request: its method and its path, as received."""
+    """The method and the path of a request, as received."""
 
     method: str
     path: str
 
 
 class _RequestHead(NamedTuple):
-    """A request, and the length of the body behind its head."""
+    """A request and the length of its body in bytes."""
 
     request: AdminRequest
     body_bytes: int
 
 
 class RequestParser:
-    """Finds the one request of a connection in what has been received, split anywhere."""
+    """Incremental parser of the single request of a connection."""
 
     def __init__(self) -> None:
         self._request: AdminRequest | None = None
-        self._end = 0  # where its body ends, once its head has been read
+        self._end = 0  # offset of the end of the body in bytes, once the head is parsed
 
     def parse(self, data: bytearray, size: int) -> AdminRequest | None:
         """Return the request once it is complete.
 
         Args:
-            data: all that has been received on the connection, from the first byte on.
-            size: so many bytes of it are valid.
+            data: buffer with all bytes received on the connection.
+            size: number of valid bytes in the buffer.
 
         Raises:
-            RequestError: if it cannot be read.
+            RequestError: if the request is invalid or too large.
         """
         if self._request is None:
             head_end = data.find(_HEAD_END, 0, min(size, MAX_HEAD_BYTES))
@@ -93,7 +93,7 @@
 
 
 def encode_response(status: HTTPStatus, text: str, allowed_method: str = "") -> bytes:
-    """Encode a response that closes its connection; `text` is its body."""
+    """Encode a response with the body `text` that announces the close of its connection."""
     body = text.encode()
     allow = f"Allow: {allowed_method}\r\n" if allowed_method else ""
     return (
@@ -120,7 +120,7 @@
 
 
 def _parse_body_length(header_lines: Sequence[bytes]) -> int:
-    """Return the length of the body in bytes; 0 if no header gives one."""
+    """Return the length of the body in bytes; 0 without a Content-Length header."""
     lengths: set[bytes] = set()
     for line in header_lines:
         name, colon, value = line.partition(b":")
--- a/winchspan/admin/routes.py
+++ b/winchspan/admin/routes.py
@@ -24,11 +24,11 @@
 
 
 class Route(NamedTuple):
-    """What a path names.
+    """The operation that a path names.
 
     Attributes:
         operation: the operation.
-        endpoint_name: the endpoint that it acts on, unchecked; empty if it acts on none.
+        endpoint_name: name of the endpoint, not validated; empty for operations without an endpoint.
     """
 
     operation: Operation
@@ -36,7 +36,7 @@
 
 
 def find_route(path: str) -> Route | None:
-    """Return what a path names; None if there is no such path."""
+    """Return the route of a path; None if no operation has this path."""
     operation = _PLAIN_ROUTES.get(path)
     if operation is not None:
         return Route(operation)
@@ -48,7 +48,7 @@
 
 
 def handle_request(operations: Operations, request: AdminRequest) -> OperationResult:
-    """Execute the operation that a request names by its method and path."""
+    """Execute the operation that the method and the path of a request name."""
     route = find_route(request.path)
     if route is None:
         return OperationResult(
--- a/winchspan/admin/server.py
+++ b/winchspan/admin/server.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP server: accepts connections, bounded in number, and executes their requests."""
+"""The operators' HTTP server: accepts a bounded number of connections and executes their requests."""
 
 from __future__ import annotations
 
@@ -17,50 +17,50 @@
 from winchspan.runtime.timers import TimerQueue
 
 MAX_CONNECTIONS: Final = 16
-"""Open at once."""
+"""Maximum number of open connections."""
 
 ACCEPT_RETRY_SECONDS: Final = 0.1
-"""After the system has failed to accept."""
+"""Delay before the next accept after the system has failed to accept."""
 
 
 class AdminServer:
     """Accepts operators' connections.
 
     Attributes:
-        timers: the courier's.
+        timers: timer queue of the courier.
     """
 
     def __init__(self, operations: Operations, timers: TimerQueue) -> None:
         self.timers = timers
         self._operations = operations
-        self._connections: dict[AdminConnection, None] = {}  # the oldest first
+        self._connections: dict[AdminConnection, None] = {}  # ordered set, oldest connection first
         self._loop: asyncio.AbstractEventLoop | None = None
         self._listener: Listener | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     def listen(self, loop: asyncio.AbstractEventLoop, listener: Listener) -> int:
-        """Accept the connections of a listening socket, and own it; return its port."""
+        """Take ownership of a listening socket, accept its connections and return its port."""
         self._loop = loop
         self._listener = listener
         self._start_accepting()
         return int(listener.getsockname()[1])
 
     def handle(self, request: AdminRequest) -> OperationResult:
-        """Execute what a request asks for; an unexpected error is a result, too."""
+        """Execute the operation of a request; an unexpected exception results in status 500."""
         try:
             return handle_request(self._operations, request)
-        except Exception:  # a fault of ours must not end the connection without a response
+        except Exception:  # the client needs a response to a request that fails unexpectedly
             logger.exception("admin: {} {} failed", request.method, request.path)
             return OperationResult(HTTPStatus.INTERNAL_SERVER_ERROR, "internal error\n")
 
     def remove(self, connection: AdminConnection) -> None:
-        """Forget a connection that is closed."""
+        """Unregister a closed connection."""
         self._connections.pop(connection, None)
 
     def close(self) -> None:
-        """Stop listening, and close all connections; may be called twice."""
+        """Stop listening and close all connections; further calls have no effect."""
         if self._listener is not None and self._loop is not None:
-            self._loop.remove_reader(self._listener)  # type: ignore[arg-type]  # it has a descriptor
+            self._loop.remove_reader(self._listener)  # type: ignore[arg-type]  # has fileno()
             self._listener.close()
             self._listener = None
         for connection in list(self._connections):
@@ -68,10 +68,10 @@
 
     def _start_accepting(self) -> None:
         if self._loop is not None and self._listener is not None:
-            self._loop.add_reader(self._listener, self._accept)  # type: ignore[arg-type]  # it has a descriptor
+            self._loop.add_reader(self._listener, self._accept)  # type: ignore[arg-type]  # has fileno()
 
     def _accept(self) -> None:
-        """Accept those that wait, some at a time."""
+        """Accept pending connections, at most `MAX_CONNECTIONS` per call."""
         assert self._loop is not None
         assert self._listener is not None
         for _ in range(MAX_CONNECTIONS):
@@ -81,7 +81,7 @@
                 return
             except OSError as err:
                 logger.error("admin: cannot accept: {}", err)
-                self._loop.remove_reader(self._listener)  # type: ignore[arg-type]  # it has a descriptor
+                self._loop.remove_reader(self._listener)  # type: ignore[arg-type]  # has fileno()
                 self._loop.call_later(ACCEPT_RETRY_SECONDS, self._start_accepting)
                 return
             sock.setblocking(False)
@@ -93,9 +93,9 @@
             task.add_done_callback(self._tasks.discard)
 
     def _evict_excess(self) -> None:
-        """Make room for one connection: answered ones are closed first, then the oldest silent ones.
+        """Close connections to admit a new one: answered ones first, then the oldest without a request.
 
-        Guards against silent clients that would keep others out.
+        Without it, clients that send no request could block others.
         """
         excess_count = max(0, len(self._connections) - MAX_CONNECTIONS + 1)
         by_preference = sorted(self._connections, key=lambda connection: not connection.is_answered)
--- a/winchspan/api/events.py
+++ b/winchspan/api/events.py
@@ -101,7 +101,7 @@
         is_final: whether the message is completed, by this attempt or before it.
         wait_ns: the pause that the response requests (Retry-After); 0: not stated.
         no_slot: whether it was not sent because no call slot was free.
-        limit_remaining: the remaining calls of the rate limit that the response states; None: not stated.
+        limit_remaining: unused fraction of the rate limit, as the response states; None: not stated.
         limit_rate: the rate limit in calls a second that the response states; None: not stated.
     """
 
--- a/winchspan/application/application.py
+++ b/winchspan/application/application.py
@@ -72,7 +72,7 @@
             context: the resources with which the process starts.
 
         Raises:
-            ConfigError: if a section of the operator's file cannot be used here.
+            ConfigError: if a section of the operator's file cannot be used on this platform.
             OSError: if a file or a socket cannot be opened.
         """
         self.config = config
--- a/winchspan/cli/__init__.py
+++ b/winchspan/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line, `python -m winchspan.cli`; the courier imports none of it."""
+"""The command line, `python -m winchspan.cli`; the courier does not import this package."""
--- a/winchspan/cli/__main__.py
+++ b/winchspan/cli/__main__.py
@@ -10,7 +10,7 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
-    """Commands of winchspan. Exit codes: 0 done, 1 nothing found, 2 wrong words or files."""
+    """Commands of winchspan. Exit codes: 0 success, 1 nothing found, 2 error."""
 
 
 main.add_command(courier)
--- a/winchspan/cli/courier.py
+++ b/winchspan/cli/courier.py
@@ -1,4 +1,4 @@
-"""The command `courier`: the operators' operations, over the control socket of a running courier."""
+"""The command `courier`: executes operators' operations over the control socket of a running courier."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 @click.argument("operation", type=click.Choice([operation.value for operation in Operation]))
 @click.argument("endpoint", default="")
 def courier(path: Path, operation: str, endpoint: str) -> None:
-    """Ask a running courier what the operators' front offers; `offline` and `online` need an ENDPOINT."""
+    """Execute an operation on a running courier; `offline` and `online` need an ENDPOINT."""
     try:
         client = ControlClient(path)
         try:
--- a/winchspan/cli/dead_letter_documents.py
+++ b/winchspan/cli/dead_letter_documents.py
@@ -1,6 +1,7 @@
 """The JSON documents about dead letters, as `winchspan.dead_letters.queries` returns them.
 
-Times are Unix milliseconds, durations milliseconds. The keys are the documents' own and stay.
+Times are Unix times in milliseconds, durations are in milliseconds. The keys are part of the output format
+and must not change.
 """
 
 from __future__ import annotations
@@ -9,7 +10,7 @@
 
 
 class AttemptDocument(TypedDict):
-    """One attempt; `wait` is what the destination asked to wait, 0 for nothing."""
+    """One attempt; `wait` is the Retry-After wait of the destination in ms, 0 if there is none."""
 
     endpoint: str
     at: float
@@ -19,7 +20,7 @@
 
 
 class DestinationDocument(TypedDict):
-    """The state of the destination when the message was given up."""
+    """The state of the destination at the failure of the message."""
 
     window: int
     calls: int
@@ -30,7 +31,7 @@
 
 
 class FailureDocument(TypedDict):
-    """Why a message ended; `earlier` counts the attempts of previous incarnations."""
+    """The cause of a message's failure; `earlier` counts the attempts of previous processes."""
 
     reason: str
     at: float
@@ -40,7 +41,7 @@
 
 
 class DecisionDocument(TypedDict):
-    """What the rules would do with a message now."""
+    """The decision of the redelivery rules about a message at present."""
 
     action: str
     at: float
@@ -49,7 +50,7 @@
 
 
 class MessageDocument(TypedDict):
-    """A message; `ran` says whether it may have run, `decision` is there where the rules are known."""
+    """A message; `ran` tells whether it may have run, `decision` is present if the rules are available."""
 
     number: int
     id: str
@@ -69,7 +70,7 @@
 
 
 class ActionDocument(TypedDict):
-    """What an operator's action does to one message."""
+    """The effect of an operator's action on one message."""
 
     action: str
     number: int
@@ -89,7 +90,7 @@
 
 
 class AuditLogDocument(TypedDict):
-    """A page of the audit log: the hash of its last entry, the number of its oldest, and entries."""
+    """A page of the audit log: the hash of the last entry, the number of the oldest entry, and entries."""
 
     head: str
     first: int
--- a/winchspan/cli/dead_letter_format.py
+++ b/winchspan/cli/dead_letter_format.py
@@ -1,4 +1,4 @@
-"""Dead letters and the audit log as lines of text."""
+"""Formats dead letters and audit log entries as lines of text."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def format_time(unix_ms: float | None) -> str:
-    """Format a time in UTC, to the millisecond."""
+    """Format a time in UTC with milliseconds; None as "-"."""
     if unix_ms is None:
         return "-"
     return datetime.fromtimestamp(unix_ms / 1_000.0, UTC).strftime("%Y-%m-%d %H:%M:%S.%f")[:-3]
@@ -33,7 +33,7 @@
 
 
 def format_details(message: MessageDocument) -> Iterator[str]:
-    """Yield the lines that tell why a message failed, and of each attempt."""
+    """Yield lines that describe a message, the cause of its failure and each attempt."""
     failure = message["story"]
     destination = failure["seen"]
     retry_after = f", to wait {destination['waits']:.0f} ms" if destination["waits"] else ""
@@ -66,14 +66,14 @@
 
 
 def format_decision(decision: DecisionDocument) -> str:
-    """Format what the rules would do with a message now."""
+    """Format the present decision of the redelivery rules about a message."""
     rule = f" by rule {decision['rule']}" if decision["rule"] else ""
     time = f" at {format_time(decision['at'])}" if decision["action"] == "wait" else ""
     return f"  now        {decision['action']}{time}{rule}: {decision['why']}"
 
 
 def format_action(action: ActionDocument, *, is_dry_run: bool) -> str:
-    """Format what an action has done to a message, or would do."""
+    """Format the effect of an action on a message, or its would-be effect in a dry run."""
     change = f"{action['action']} message {action['number']}: {action['before']} to {action['after']}"
     return f"would {change}" if is_dry_run else change
 
--- a/winchspan/cli/dead_letter_options.py
+++ b/winchspan/cli/dead_letter_options.py
@@ -1,4 +1,4 @@
-"""Options that several commands of `undelivered` share."""
+"""Options shared by several commands of `undelivered`."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 CommandFunction = TypeVar("CommandFunction", bound=Callable[..., Any])
 
 
-class Span(click.ParamType[float]):
-    """A span of time like `10m`, in ms."""
+class Duration(click.ParamType[float]):
+    """Parameter type of a duration such as `10m`, converted to ms."""
 
     name = "span"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> float:
-        """Return the span in ms."""
+        """Return the duration in ms."""
         text = str(value)
         try:
             return float(text[:-1]) * _UNIT_SECONDS[text[-1:]] * 1_000.0
@@ -33,7 +33,7 @@
 
 
 class FilterOptions(TypedDict):
-    """The values of `filter_options`; None: any."""
+    """Values of `filter_options`; None matches any message."""
 
     cls: str | None
     dest: int | None
@@ -48,7 +48,7 @@
 
 
 class ActionOptions(TypedDict):
-    """The values of `action_options`; `why` is there where a reason is required."""
+    """Values of `action_options`; `why` is present if the action requires a reason."""
 
     who: str
     dry_run: bool
@@ -63,31 +63,31 @@
     click.option("--class", "cls", help="of this class"),
     click.option("--dest", type=int, help="for this destination"),
     click.option("--end", type=click.Choice(["failed", "returned"]), help="with this answer"),
-    click.option("--reason", help="that ended for this reason, as `stats` names it"),
-    click.option("--ran", type=_choice(ExecutionEvidence), help="whether it has run"),
+    click.option("--reason", help="that ended for this reason, as listed by `stats`"),
+    click.option("--ran", type=_choice(ExecutionEvidence), help="with this evidence of execution"),
     click.option("--state", type=_choice(DeadLetterState), help="in this state"),
     click.option("--key", help="of this key, in hexadecimal digits"),
     click.option("--token", help="with this idempotency key"),
     click.option("--id", "id", help="with this message id"),
-    click.option("--since", type=Span(), help="that ended within this span, e.g. 10m"),
+    click.option("--since", type=Duration(), help="that ended within this duration before now, e.g. 10m"),
 )
 
 who_option: Final = click.option(
-    "--who", default=getpass.getuser, show_default="your user name", help="who does it, for the trail"
+    "--who", default=getpass.getuser, show_default="your user name", help="operator's name for the audit log"
 )
-dry_run_option: Final = click.option("--dry-run", is_flag=True, help="only say what would be done")
-_why_option: Final = click.option("--why", required=True, help="why, for the trail")
+dry_run_option: Final = click.option("--dry-run", is_flag=True, help="only print the effect, change nothing")
+_why_option: Final = click.option("--why", required=True, help="reason for the audit log")
 
 
 def filter_options(command: CommandFunction) -> CommandFunction:
-    """Add the options that choose messages."""
+    """Add the options that filter messages."""
     for option in reversed(_FILTER_OPTIONS):
         command = option(command)
     return command
 
 
 def build_filter(options: FilterOptions) -> dict[str, JsonValue]:
-    """Return the filter that the options name, as a query takes it."""
+    """Convert the options to a query filter."""
     values = cast("Mapping[str, JsonValue]", options)
     chosen: dict[str, JsonValue] = {
         name: value for name, value in values.items() if value is not None and name != "since"
@@ -99,7 +99,7 @@
 
 
 def action_options(*, needs_reason: bool) -> Callable[[CommandFunction], CommandFunction]:
-    """Add the options of a command that changes something."""
+    """Add the options of a command that changes messages."""
 
     def add(command: CommandFunction) -> CommandFunction:
         if needs_reason:
--- a/winchspan/cli/dead_letter_source.py
+++ b/winchspan/cli/dead_letter_source.py
@@ -1,4 +1,4 @@
-"""Where the command `undelivered` gets its answers: a running courier, or the file of its store."""
+"""Sources of dead letters for the command `undelivered`: a running courier, or the file of its store."""
 
 from __future__ import annotations
 
@@ -17,37 +17,37 @@
 from winchspan.dead_letters.store_eviction import StoreBounds
 
 MAX_FILE_GROWTH_BYTES: Final = 64_000_000
-"""What a store's file may grow by one query of a tool."""
+"""Maximum growth of a store's file by one query of a tool."""
 
 _NO_LIMIT: Final = 10**9
 
 
 class DeadLetterSource(Protocol):
-    """What executes queries."""
+    """Interface to execute queries on dead letters."""
 
     def query(self, name: str, /, **arguments: JsonValue) -> JsonValue:
         """Execute one of `queries.QUERY_NAMES` and return its result.
 
         Raises:
-            ControlError: if the courier cannot be asked.
-            OperatorActionError: if the arguments are wrong.
-            DeadLetterStoreError: if the store cannot be used.
+            ControlError: if the request to the courier fails.
+            OperatorActionError: if the arguments are invalid.
+            DeadLetterStoreError: if the store is unusable.
         """
 
 
 class FileSource:
-    """The file of a store, whether a courier runs or not."""
+    """Queries the file of a store, whether or not a courier runs."""
 
     def __init__(self, path: Path) -> None:
-        """Make it; `path` is the file, or its directory."""
+        """Create a source; `path` is the file of the store or its directory."""
         self._path = path / STORE_FILE_NAME if path.is_dir() else path
 
     def query(self, name: str, /, **arguments: JsonValue) -> JsonValue:
-        """Open the file for one query; see `DeadLetterSource`."""
+        """Execute a query on the file, which is open only for this query; see `DeadLetterSource`."""
         checked = queries.parse_arguments(name, arguments)
         if not self._path.exists():
             raise DeadLetterStoreError(f"{self._path}: there is no store")
-        # Only the courier knows the operator's bounds, and evicts what is beyond them; a tool evicts nothing.
+        # Only the courier has the operator's bounds and evicts messages beyond them; a tool evicts nothing.
         max_bytes = self._path.stat().st_size + MAX_FILE_GROWTH_BYTES
         bounds = StoreBounds(max_bytes, _NO_LIMIT, 1e6, _NO_LIMIT)
         store = DeadLetterStore(self._path, bounds, read_only=queries.is_read_only(name, arguments))
@@ -59,14 +59,14 @@
 
 
 class SocketSource:
-    """A running courier."""
+    """Queries a running courier over its control socket."""
 
     def __init__(self, path: Path) -> None:
-        """Make it; `path` is the courier's control socket."""
+        """Create a source; `path` is the courier's control socket."""
         self._path = path
 
     def query(self, name: str, /, **arguments: JsonValue) -> JsonValue:
-        """Open a connection for one query; see `DeadLetterSource`."""
+        """Execute a query over a connection of its own; see `DeadLetterSource`."""
         client = ControlClient(self._path)
         try:
             return client.call(f"undelivered.{name}", **arguments)
@@ -75,15 +75,15 @@
 
 
 def query_or_exit(source: DeadLetterSource, name: str, /, **arguments: JsonValue) -> JsonValue:
-    """Execute a query; a failure ends the command with one line."""
+    """Execute a query; on failure print a one-line error and exit."""
     try:
         return source.query(name, **arguments)
     except (ControlError, OperatorActionError, DeadLetterStoreError) as err:
         fail(err)
 
 
-def complete_messages(source: DeadLetterSource, message_filter: JsonValue) -> Iterator[MessageDocument]:
-    """Yield all messages that match, with their bodies, the oldest first."""
+def messages_with_bodies(source: DeadLetterSource, message_filter: JsonValue) -> Iterator[MessageDocument]:
+    """Yield all messages that match a filter with their bodies, oldest first."""
     after = 0
     while True:
         result = query_or_exit(
--- a/winchspan/cli/exit_codes.py
+++ b/winchspan/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of the command line, and its one way to fail."""
+"""Exit codes of the command line, and functions to exit with them."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class ExitCode(IntEnum):
-    """What a command's exit code says."""
+    """Exit code of a command."""
 
     DONE = 0
     NOTHING_FOUND = 1
-    FAILED = 2  # wrong arguments or files, or a courier that does not answer
+    FAILED = 2  # invalid arguments or files, or no reply from the courier
 
 
 def fail(message: object) -> NoReturn:
-    """Print one line on the standard error stream and exit."""
+    """Print a one-line error to standard error and exit."""
     click.echo(f"winchspan: {message}", err=True)
     raise SystemExit(ExitCode.FAILED)
 
 
 def exit_by_count(count: int) -> NoReturn:
-    """Exit with success if anything was found."""
+    """Exit with `DONE` if the count is positive, else with `NOTHING_FOUND`."""
     raise SystemExit(ExitCode.DONE if count else ExitCode.NOTHING_FOUND)
--- a/winchspan/cli/undelivered.py
+++ b/winchspan/cli/undelivered.py
@@ -1,4 +1,4 @@
-"""The command `undelivered`: dead letters, over the control socket of a courier or in its store's file."""
+"""The command `undelivered`: queries and changes dead letters of a running courier or in a store's file."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     DeadLetterSource,
     FileSource,
     SocketSource,
-    complete_messages,
+    messages_with_bodies,
     query_or_exit,
 )
 from winchspan.cli.exit_codes import exit_by_count, fail
@@ -36,7 +36,9 @@
 
 
 @click.group()
-@click.option("--store", type=click.Path(path_type=Path, exists=True), help="the store's file, or its folder")
+@click.option(
+    "--store", type=click.Path(path_type=Path, exists=True), help="the store's file or its directory"
+)
 @click.option("--socket", type=click.Path(path_type=Path), help="the control socket of a running courier")
 @click.pass_context
 def undelivered(ctx: click.Context, store: Path | None, socket: Path | None) -> None:
@@ -63,10 +65,10 @@
     type=click.IntRange(1, queries.MAX_MESSAGES_PER_PAGE),
     default=50,
     show_default=True,
-    help="on a page",
+    help="maximum number of messages on a page",
 )
-@click.option("--after", type=int, default=0, help="the number that ended the page before")
-@click.option("--json", "as_json", is_flag=True, help="a JSON object a line, without bodies")
+@click.option("--after", type=int, default=0, help="number of the previous page's last message")
+@click.option("--json", "as_json", is_flag=True, help="one JSON object per line, without bodies")
 @click.pass_obj
 def list_messages(
     source: DeadLetterSource, /, most: int, after: int, as_json: bool, **options: Unpack[FilterOptions]
@@ -84,7 +86,7 @@
 @click.option("--json", "as_json", is_flag=True, help="as a JSON object, with the body in Base64")
 @click.pass_obj
 def show(source: DeadLetterSource, /, number: int, as_json: bool) -> None:
-    """Show one message by its number: why it failed, each attempt, and whether it may have run."""
+    """Show a message: the cause of its failure, each attempt, and whether it may have run."""
     message = cast("MessageDocument", query_or_exit(source, "show", number=number))
     click.echo(json.dumps(message) if as_json else "\n".join(format_details(message)))
 
@@ -94,7 +96,7 @@
 @click.option("--json", "as_json", is_flag=True, help="as a JSON object")
 @click.pass_obj
 def why(source: DeadLetterSource, /, number: int, as_json: bool) -> None:
-    """Tell why a message is where it is; over --socket also what the rules would do with it now."""
+    """Explain the state of a message; with --socket also the rules' present decision about it."""
     message = cast("MessageDocument", query_or_exit(source, "why", number=number))
     if as_json:
         click.echo(json.dumps(message))
@@ -109,7 +111,7 @@
 @click.option("--json", "as_json", is_flag=True, help="as a JSON object")
 @click.pass_obj
 def stats(source: DeadLetterSource, /, as_json: bool) -> None:
-    """Totals, and counts by state, answer, reason, evidence and destination."""
+    """Show totals, and counts by state, answer, reason, evidence and destination."""
     statistics = cast("dict[str, int | dict[str, int]]", query_or_exit(source, "stats"))
     if as_json:
         click.echo(json.dumps(statistics))
@@ -128,9 +130,9 @@
 @click.argument("out", type=click.File("w", encoding="utf-8"))
 @click.pass_obj
 def export(source: DeadLetterSource, /, out: TextIO, **options: Unpack[FilterOptions]) -> None:
-    """Write messages with their bodies to OUT, a JSON object a line, oldest first."""
+    """Write messages with their bodies to OUT, one JSON object per line, oldest first."""
     written_count = 0
-    for message in complete_messages(source, build_filter(options)):
+    for message in messages_with_bodies(source, build_filter(options)):
         out.write(json.dumps(message) + "\n")
         written_count += 1
     click.echo(f"{written_count} messages", err=True)
@@ -142,7 +144,7 @@
 @who_option
 @click.pass_obj
 def import_messages(source: DeadLetterSource, /, file: TextIO, dry_run: bool, who: str) -> None:
-    """Keep the messages of an export; they are held until an operator acts on them."""
+    """Import messages of an export; they are held until an operator acts on them."""
     imported_count = 0
     file_name = Path(file.name).name
     lines = [line for line in file if line.strip()]
@@ -163,8 +165,8 @@
 @click.option("--json", "as_json", is_flag=True, help="as a JSON object")
 @click.pass_obj
 def trail(source: DeadLetterSource, /, as_json: bool) -> None:
-    """Show what operators have done; exit code 2 if the trail has been tampered with."""
-    log = _complete_audit_log(source)
+    """Show the audit log of operators' actions; exit code 2 if it has been tampered with."""
+    log = _fetch_audit_log(source)
     if as_json:
         click.echo(json.dumps(log))
         return
@@ -176,8 +178,8 @@
         click.echo(f"the trail is whole; its head is {log['head']}")
 
 
-def _complete_audit_log(source: DeadLetterSource) -> AuditLogDocument:
-    """Return the audit log with the entries of all its pages."""
+def _fetch_audit_log(source: DeadLetterSource) -> AuditLogDocument:
+    """Return the audit log with the entries of all pages."""
     log = page = cast("AuditLogDocument", query_or_exit(source, "trail"))
     while len(page["entries"]) == MAX_AUDIT_ENTRIES_PER_PAGE:
         last_seq = page["entries"][-1]["seq"]
--- a/winchspan/cli/undelivered_actions.py
+++ b/winchspan/cli/undelivered_actions.py
@@ -1,4 +1,4 @@
-"""The commands of `undelivered` that change dead letters; each leaves an entry in the audit log."""
+"""The commands of `undelivered` that change dead letters; each adds an entry to the audit log."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from winchspan.control.protocol import JsonValue
 
 
-def _act(
+def _execute_action(
     source: DeadLetterSource, action: str, options: ActionOptions, /, **arguments: JsonValue
 ) -> NoReturn:
-    """Execute an action, print what it does a line each, and exit."""
+    """Execute an action, print its effect on each message, and exit."""
     result = query_or_exit(source, "act", action=action, **options, **arguments)
-    actions = cast("list[ActionDocument]", result)
-    for one in actions:
-        click.echo(format_action(one, is_dry_run=options["dry_run"]))
-    exit_by_count(len(actions))
+    action_documents = cast("list[ActionDocument]", result)
+    for document in action_documents:
+        click.echo(format_action(document, is_dry_run=options["dry_run"]))
+    exit_by_count(len(action_documents))
 
 
 @click.command()
@@ -31,8 +31,8 @@
 @action_options(needs_reason=False)
 @click.pass_obj
 def resend(source: DeadLetterSource, /, numbers: tuple[int, ...], **options: Unpack[ActionOptions]) -> None:
-    """Approve the next resend of messages; the courier sends them unless that could have a second effect."""
-    _act(source, "resend", options, numbers=list(numbers))
+    """Approve the next resend of messages; the courier skips those that could have a second effect."""
+    _execute_action(source, "resend", options, numbers=list(numbers))
 
 
 @click.command()
@@ -40,8 +40,8 @@
 @action_options(needs_reason=True)
 @click.pass_obj
 def hold(source: DeadLetterSource, /, numbers: tuple[int, ...], **options: Unpack[ActionOptions]) -> None:
-    """Keep messages from all rules."""
-    _act(source, "hold", options, numbers=list(numbers))
+    """Exclude messages from all redelivery rules."""
+    _execute_action(source, "hold", options, numbers=list(numbers))
 
 
 @click.command()
@@ -49,8 +49,8 @@
 @action_options(needs_reason=True)
 @click.pass_obj
 def release(source: DeadLetterSource, /, numbers: tuple[int, ...], **options: Unpack[ActionOptions]) -> None:
-    """Sign that messages have not run: they are sent again. Ask the partner first."""
-    _act(source, "release", options, numbers=list(numbers))
+    """Confirm that messages have not run, so that they are sent again. Ask the partner first."""
+    _execute_action(source, "release", options, numbers=list(numbers))
 
 
 @click.command()
@@ -58,8 +58,8 @@
 @action_options(needs_reason=True)
 @click.pass_obj
 def drop(source: DeadLetterSource, /, numbers: tuple[int, ...], **options: Unpack[ActionOptions]) -> None:
-    """Give messages up; they stay readable until their place is needed."""
-    _act(source, "drop", options, numbers=list(numbers))
+    """Drop messages; they stay readable until their space is needed."""
+    _execute_action(source, "drop", options, numbers=list(numbers))
 
 
 @click.command()
@@ -67,8 +67,8 @@
 @action_options(needs_reason=False)
 @click.pass_obj
 def report(source: DeadLetterSource, /, file: TextIO, **options: Unpack[ActionOptions]) -> None:
-    """Take a partner's report as evidence: a line for each id or idempotency key, with ran or never."""
-    _act(source, "report", options, lines=file.read().splitlines(), source=Path(file.name).name)
+    """Import a partner's report as evidence: one line per ID or idempotency key, with ran or never."""
+    _execute_action(source, "report", options, lines=file.read().splitlines(), source=Path(file.name).name)
 
 
 ACTION_COMMANDS: Final = (resend, hold, release, drop, report)
--- a/winchspan/cluster/announcements.py
+++ b/winchspan/cluster/announcements.py
@@ -22,7 +22,7 @@
     Promise,
     RollbackDetector,
     StoreProgress,
-    promise_in,
+    promise_of_message,
 )
 from winchspan.consensus.store import ConsensusStore
 
@@ -116,7 +116,7 @@
         """Record the vote or log entry that a member's store committed itself to in a message to this one."""
         raft = self._local.raft
         is_leader = raft.role is RaftRole.LEADER and raft.term == message.term
-        promise = promise_in(message, source, raft.node_id, raft.log.term_at if is_leader else None)
+        promise = promise_of_message(message, source, raft.node_id, raft.log.term_at if is_leader else None)
         if promise is not None:
             self._rollbacks.record_promise(member, source, promise)
 
@@ -176,7 +176,7 @@
         if missing or known.life == self._node.incarnation:
             return missing
         missing = self._loaded_state.describe_rollback(known, promise)
-        if not missing and not promise.is_kept_by(self._local.loaded):
+        if not missing and not promise.is_satisfied_by(self._local.loaded):
             return f"entry {promise.index} of term {promise.entry_term}"
         return missing
 
--- a/winchspan/cluster/health_check_service.py
+++ b/winchspan/cluster/health_check_service.py
@@ -179,9 +179,8 @@
 
     # ---- messages ----------------------------------------------------------------------------------------
     def _on_starting(self, sender: str, message: HealthCheckStarting) -> None:
-        if message.role != shard_role(
-            message.destination
-        ):  # an unknown role would add an entry to the fence's table
+        # Any other role is rejected: it would add an entry to the fence's table, which has to stay bounded.
+        if message.role != shard_role(message.destination):
             return
         is_accepted = self._state.fence.admit(message.role, message.epoch)
         if is_accepted:  # the check may be sent until its quorum request times out
--- a/winchspan/cluster/lease_service.py
+++ b/winchspan/cluster/lease_service.py
@@ -169,14 +169,14 @@
         """Return the first lease expiry of a holder that is not eligible; None unless this courier leads."""
         if self._manager is None:
             return None
-        return self._manager.next_absent_holder_expiry(now, eligible, self.table)
+        return self._manager.next_absent_holder_expiry_ms(now, eligible, self.table)
 
     def _renew(self, now: float, request: RenewLeases) -> LeasesRenewed | None:
         """Renew a member's leases; return None unless this courier leads and the member's clock is sound."""
         if self._manager is None or not self._clocks.may_hold_leases(request.owner):
             return None
         renewal = self._manager.renew(now, request, self.table, self._raft.has_confirmed_leadership(now))
-        self._latest_renewal_end_ms = max(self._latest_renewal_end_ms, self._manager.latest_expiry_at)
+        self._latest_renewal_end_ms = max(self._latest_renewal_end_ms, self._manager.latest_expiry_ms)
         return renewal
 
     # ---- messages ----------------------------------------------------------------------------------------
--- a/winchspan/cluster/raft_timer.py
+++ b/winchspan/cluster/raft_timer.py
@@ -22,11 +22,11 @@
 
     def arm(self) -> None:
         """Set the timer to the state machine's next timeout, if that is earlier than the time already set."""
-        if self._is_stopped or self._raft.next_tick_at >= self._due_ms:
+        if self._is_stopped or self._raft.tick_due_ms >= self._due_ms:
             return
         if self._timer is not None:
             self._timer.cancel()
-        self._due_ms = self._raft.next_tick_at
+        self._due_ms = self._raft.tick_due_ms
         delay_ms = max(0.0, self._due_ms - self._node.now_ms())
         self._timer = self._node.timers.call_later(delay_ms, self._on_timer)
 
--- a/winchspan/cluster/redelivery_service.py
+++ b/winchspan/cluster/redelivery_service.py
@@ -10,7 +10,11 @@
 from winchspan.cluster.consensus_service import ConsensusService
 from winchspan.cluster.messages import RedeliveryQuotaGranted, RedeliveryQuotaUsed
 from winchspan.cluster.node import ClusterNode
-from winchspan.cluster_tasks.redelivery_rounds import REDELIVERY_ROLE, RedeliveryAllowance, RedeliveryRounds
+from winchspan.cluster_tasks.redelivery_rounds import (
+    REDELIVERY_ROLE,
+    RedeliveryQuota,
+    RedeliveryQuotaScheduler,
+)
 from winchspan.dead_letters.policy import RedeliveryRateLimiter, RedeliveryRule
 from winchspan.leases.fencing import EpochFence
 
@@ -56,11 +60,11 @@
         self._leases = consensus.leases
         self._consensus = consensus
         self._rates = {rule.name: rule.rate for rule in rules}
-        self._rounds: RedeliveryRounds | None = None  # while this courier holds the role
+        self._rounds: RedeliveryQuotaScheduler | None = None  # while this courier holds the role
         self._epoch = 0
         self._grantor = ""  # member that granted the current quota
         self._fence = EpochFence()
-        self.allowance = RedeliveryAllowance()
+        self.allowance = RedeliveryQuota()
         self._is_closed = False
         self._bus.subscribe(RedeliveryQuotaGranted, self._on_granted)
         self._bus.subscribe(RedeliveryQuotaUsed, self._on_used)
@@ -78,13 +82,13 @@
         epoch, now = self._leases.permitted_epoch(REDELIVERY_ROLE), self.now()
         if epoch != self._epoch:
             self._epoch = epoch
-            self._rounds = RedeliveryRounds(now, self._rates) if epoch else None
+            self._rounds = RedeliveryQuotaScheduler(now, self._rates) if epoch else None
         if self._rounds is None:
             return
         grant = self._rounds.next_grant(now, self._consensus.live_nodes())
         if grant is None:
             return
-        message = RedeliveryQuotaGranted(epoch, grant.number, grant.limits)
+        message = RedeliveryQuotaGranted(epoch, grant.round_number, grant.limits)
         if grant.recipient == self._node.name:
             self._on_granted(self._node.name, message)
         else:
@@ -123,7 +127,7 @@
         if not self._grantor or not self.allowance.is_valid(self.now()):
             return
         self.allowance.release()
-        message = RedeliveryQuotaUsed(self.allowance.number, self.allowance.used_counts)
+        message = RedeliveryQuotaUsed(self.allowance.round_number, self.allowance.used_counts)
         if self._grantor == self._node.name:
             self._on_used(self._grantor, message)
         else:
--- a/winchspan/cluster_tasks/__init__.py
+++ b/winchspan/cluster_tasks/__init__.py
@@ -1,1 +1,1 @@
-"""Periodic tasks that one member of the cluster does for all: health checks and redelivery rounds."""
+"""Periodic tasks that one member performs for the whole cluster: health checks and redelivery."""
--- a/winchspan/cluster_tasks/health_checks.py
+++ b/winchspan/cluster_tasks/health_checks.py
@@ -1,11 +1,11 @@
-"""When which endpoint is due for a health check, and what all members know of past checks.
+"""Schedule of the health checks of endpoints, and the shared state of past checks.
 
 Destinations are divided into `SHARD_COUNT` leased roles by a hash of their number, so that one courier checks
-all endpoints of a destination. Before the first byte of a check it announces the check to a majority: its
-successor learns when the last one was, does what is due, and repeats nothing. The checks of an endpoint are
-numbered, so that later news is told from older. A check counts as a call, and nobody knows whether a
-destination is warming up: its checks take at most `CAPACITY_SHARE` of the rate that it bears right after a
-restart. This module only decides; it reads no clock and sends nothing.
+all endpoints of a destination. The courier announces each check to a majority before it sends the first byte.
+Its successor thereby knows the time of the last check, starts overdue checks and repeats none. Checks are
+numbered per endpoint, which orders updates. A check counts as a call, and couriers cannot see whether a
+destination is warming up: its checks therefore use at most `CAPACITY_SHARE` of the rate that it supports
+right after a restart. This module is sans-I/O: it reads no clock and sends nothing.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 from winchspan import api
 
-SHARD_COUNT: Final = 16  # few enough leases, enough to spread the work over a cluster
-CAPACITY_SHARE: Final = 0.05  # of a destination's listed rate while it warms up, for all its checks
-UNKNOWN_RATE_INTERVAL_MS: Final = 5_000.0  # between two checks of a destination whose rate is not known
-MAX_ENDPOINTS: Final = 2_000  # that are remembered
-MAX_BACKOFF_FACTOR: Final = 8.0  # on the interval of an endpoint that fails again and again
-MAX_CHECKS_PER_PASS: Final = 8  # a new owner of many shards must not start all their checks at once
+SHARD_COUNT: Final = 16  # limits the number of leases, and still distributes the work over a cluster
+CAPACITY_SHARE: Final = 0.05  # share of a destination's rate during warm-up that all its checks may use
+UNKNOWN_RATE_INTERVAL_MS: Final = 5_000.0  # between two checks of a destination with an unknown rate
+MAX_ENDPOINTS: Final = 2_000  # maximum number of endpoints and of destinations with stored checks
+MAX_BACKOFF_FACTOR: Final = 8.0  # largest factor on the check interval of a failing endpoint
+MAX_CHECKS_PER_PASS: Final = 8  # keeps a new owner of many shards from starting all their checks at once
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,10 +31,11 @@
     """A listed endpoint in service.
 
     Attributes:
-        name: of the endpoint.
-        destination: number of the destination that it belongs to.
-        rate_per_second: calls that the destination accepts from all couriers together; 0: not known.
-        endpoint_number: in the courier's own endpoint directory.
+        name: name of the endpoint.
+        destination: number of the endpoint's destination.
+        rate_per_second: calls per second that the destination accepts from all couriers together; 0 if
+            unknown.
+        endpoint_number: number of the endpoint in the courier's endpoint directory.
     """
 
     name: str
@@ -45,64 +46,62 @@
 
 @dataclass(slots=True)
 class EndpointHealth:
-    """The latest health check of an endpoint; times are readings of this courier's clock in ms."""
+    """The latest health check of an endpoint; times are readings of the local clock in ms."""
 
     destination: int
     started_at_ms: float
-    sequence_number: int  # of the check, counted per endpoint as far as anybody remembers
-    epoch: int = 0  # of the shard's owner that announced it
-    previous_started_at_ms: float = (
-        0.0  # start of the check before, until this one is known to have been sent
-    )
-    is_healthy: bool | None = None  # outcome of the last check that has ended
+    sequence_number: int  # number of the check, per endpoint; restarts if no member has the state
+    epoch: int = 0  # epoch of the shard's owner that announced the check
+    previous_started_at_ms: float = 0.0  # start of the previous check, in case the latest was not sent
+    is_healthy: bool | None = None  # result of the last completed check
     consecutive_failures: int = 0
 
 
 def shard_role(destination: int) -> str:
-    """Return the leased role that a destination's health checks belong to."""
+    """Return the leased role for a destination's health checks."""
     digest = blake2b(str(destination).encode(), digest_size=4).digest()
     return f"probes-{int.from_bytes(digest) % SHARD_COUNT}"
 
 
 def shard_roles() -> tuple[str, ...]:
-    """Return all leased roles that health checks are divided into."""
+    """Return all leased roles for health checks."""
     return tuple(f"probes-{number}" for number in range(SHARD_COUNT))
 
 
 class HealthCheckPlan:
-    """What one courier knows of all health checks, and which of them it is to start.
+    """One courier's view of all health checks, and its schedule of due checks.
 
     Attributes:
-        interval_ms: between two checks of an endpoint, where its destination bears that.
-        endpoints: the latest check by the endpoint's name.
+        interval_ms: minimum interval between two checks of an endpoint.
+        endpoints: latest check by endpoint name.
     """
 
     def __init__(self, interval_ms: float, settings: api.Settings) -> None:
-        """Start without any knowledge.
+        """Create a plan without past checks.
 
         Args:
-            interval_ms: between two checks of an endpoint, where its destination bears that.
-            settings: the platform's settings.
+            interval_ms: minimum interval between two checks of an endpoint.
+            settings: settings of the platform.
         """
         self.interval_ms = interval_ms
         self.endpoints: dict[str, EndpointHealth] = {}
-        self._destination_checked_at_ms: dict[int, float] = {}  # start of the last check
-        self._first_seen_at_ms: dict[str, float] = {}  # of endpoints without any known check
+        self._destination_checked_at_ms: dict[int, float] = {}  # start of the last check by destination
+        self._first_seen_at_ms: dict[str, float] = {}  # by name, of endpoints without a known check
         self.reconfigure(settings)
 
     def reconfigure(self, settings: api.Settings) -> None:
-        """Take over other settings."""
+        """Apply new settings."""
         self._start_capacity = settings.start_capacity
         self._has_listed_rates = settings.listed_rate is not api.ListedRate.NONE
 
     def destination_interval_ms(self, target: HealthCheckTarget) -> float:
-        """Return the ms between two checks of a destination, whichever of its endpoints they go to."""
+        """Return the minimum ms between two checks of a destination, over all its endpoints."""
         if not self._has_listed_rates or target.rate_per_second <= 0.0:
             return UNKNOWN_RATE_INTERVAL_MS
         return 1_000.0 / (CAPACITY_SHARE * self._start_capacity * target.rate_per_second)
 
     def endpoint_interval_ms(self, target: HealthCheckTarget, endpoint_count: int) -> float:
-        """Return the ms between two checks of an endpoint; it backs off while the checks fail.
+        """Return the ms between two checks of an endpoint, with exponential backoff while the checks fail.
 
         Args:
             target: the endpoint.
@@ -118,7 +117,7 @@
     def record_start(
         self, at_ms: float, name: str, destination: int, sequence_number: int, epoch: int
     ) -> None:
-        """Note that a member, perhaps this one, starts a check at a reading of this courier's clock."""
+        """Record that this or another member starts a check at a reading of the local clock."""
         health = self.endpoints.get(name)
         if health is None:
             while len(self.endpoints) >= MAX_ENDPOINTS:
@@ -140,7 +139,7 @@
         checked_at_ms[destination] = max(at_ms, checked_at_ms.get(destination, at_ms))
 
     def merge(self, name: str, remote: EndpointHealth) -> None:
-        """Take over what another member knows of an endpoint, if that is later than what is known here."""
+        """Merge another member's view of an endpoint, if it is newer than the local one."""
         health = self.endpoints.get(name)
         if health is not None and remote.sequence_number <= health.sequence_number:
             return
@@ -152,9 +151,9 @@
         health.consecutive_failures = max(0, remote.consecutive_failures)
 
     def record_not_sent(self, name: str, sequence_number: int, epoch: int) -> None:
-        """Note that an announced check was certainly not sent, so that it is still due.
+        """Record that an announced check was certainly not sent, so that it is still due.
 
-        The epoch guards against a late message: another owner may have made that check since.
+        The epoch guards against a late message, after which another owner may have performed the check.
         """
         health = self.endpoints.get(name)
         if health is not None and (health.sequence_number, health.epoch) == (sequence_number, epoch):
@@ -164,7 +163,7 @@
     def record_result(
         self, started_at_ms: float, name: str, sequence_number: int, epoch: int, is_healthy: bool
     ) -> bool:
-        """Note the outcome of a check; return whether it differs from the outcome before."""
+        """Record the result of a check; return whether it differs from the previous result."""
         health = self.endpoints.get(name)
         if health is None or (health.sequence_number, health.epoch) != (sequence_number, epoch):
             return False
@@ -183,14 +182,14 @@
         in_flight: set[str],
         retry_after_ms: Callable[[int], float] = lambda destination: 0.0,
     ) -> list[HealthCheckTarget]:
-        """Return the endpoints to check now, the longest due first, at most one of each destination.
+        """Return the endpoints to check now, longest overdue first, at most one per destination.
 
         Args:
-            now: the clock's reading in ms.
+            now: clock reading, ms.
             targets: endpoints in service.
-            epoch_of: the epoch under which this courier may act in a role at this moment; 0: it may not.
-            in_flight: names of endpoints with a check of this courier that has not ended.
-            retry_after_ms: for how many ms a destination wants no request.
+            epoch_of: returns the epoch under which this courier holds a role now; 0 if it does not hold it.
+            in_flight: names of endpoints with a check of this courier in flight.
+            retry_after_ms: returns the remaining Retry-After wait of a destination, ms.
         """
         listed = list(targets)
         endpoint_counts = Counter(target.destination for target in listed)
@@ -213,7 +212,7 @@
     def _due_at_ms(self, now: float, target: HealthCheckTarget, endpoint_count: int) -> float:
         interval_ms = self.endpoint_interval_ms(target, endpoint_count)
         health = self.endpoints.get(target.name)
-        if health is None:  # spread the first checks over one interval
+        if health is None:  # distribute the first checks over one interval
             first_seen_at_ms = self._first_seen_at_ms.setdefault(target.name, now)
             digest = blake2b(target.name.encode(), digest_size=4).digest()
             due_at_ms = first_seen_at_ms + int.from_bytes(digest) / 2**32 * interval_ms
--- a/winchspan/cluster_tasks/quorum.py
+++ b/winchspan/cluster_tasks/quorum.py
@@ -1,8 +1,8 @@
-"""Requests that need answers from a majority: opened, counted, and expired at their deadline.
+"""Requests that need answers from a majority before a deadline.
 
-What a leader writes to a majority before it acts, its successor reads from a majority before it acts itself:
-two majorities intersect (Gifford 1979). With epochs that members compare
-(`winchspan.leases.lease_table.EpochFence`), a leader that has a successor finds no majority any more.
+A leader writes state to a majority before it acts, and its successor reads this state from a majority before
+it acts, because two majorities intersect (Gifford 1979). Members compare epochs
+(`winchspan.leases.fencing.EpochFence`), so a leader that has a successor gets no further majority.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class QuorumRequests:
-    """Open requests of one node, by number."""
+    """Open quorum requests of one node, by number."""
 
     def __init__(self, local_name: str) -> None:
         self._local_name = local_name
@@ -36,11 +36,11 @@
         """Open a request.
 
         Args:
-            voters: names of the nodes whose answers count, with or without this one.
-            deadline_ms: the clock's reading from which answers count for nothing.
+            voters: names of the nodes whose answers count; this node may be absent.
+            deadline_ms: clock reading after which answers are ignored.
 
         Returns:
-            The number that answers will name; 0 if too many requests are open.
+            The number that answers repeat; 0 if too many requests are open.
         """
         if len(self._open) >= MAX_OPEN_REQUESTS:
             return 0
@@ -49,7 +49,7 @@
         return self._last_number
 
     def close_on_majority(self, number: int) -> bool:
-        """Close a request if a majority has answered; return whether it was open and is closed now."""
+        """Close a request if a majority has answered; return whether this call has closed it."""
         request = self._open.get(number)
         if request is None or not request.has_majority():
             return False
@@ -57,7 +57,7 @@
         return True
 
     def record_answer(self, number: int, name: str) -> bool:
-        """Count a node's answer; return whether it completes the majority."""
+        """Record a node's answer; return whether it completes the majority."""
         request = self._open.get(number)
         if request is None:
             return False
--- a/winchspan/cluster_tasks/shared_backoff.py
+++ b/winchspan/cluster_tasks/shared_backoff.py
@@ -1,21 +1,21 @@
-"""Retry-After waits of destinations, shared over the cluster."""
+"""Retry-After waits of destinations, shared by the couriers of a cluster."""
 
 from __future__ import annotations
 
 from typing import Final
 
-MAX_DESTINATIONS: Final = 2_000  # whose waits are remembered
-MAX_RETRY_AFTER_MS: Final = 600_000.0  # a longer wait that another courier passes on is cut to this
+MAX_DESTINATIONS: Final = 2_000  # maximum number of destinations with stored waits
+MAX_RETRY_AFTER_MS: Final = 600_000.0  # longer waits are truncated to this value
 
 
 class SharedBackoff:
-    """What one courier knows of the destinations' waits; times are readings of its own clock in ms."""
+    """One courier's view of the destinations' waits; times are readings of the local clock in ms."""
 
     def __init__(self) -> None:
-        self._until_ms: dict[int, float] = {}  # by destination
+        self._until_ms: dict[int, float] = {}  # end of the wait by destination
 
     def record_retry_after(self, now: float, destination: int, retry_after_ms: float) -> bool:
-        """Note that a destination wants no request for a time; return whether that extends its wait."""
+        """Record a Retry-After of a destination; return whether it extends the destination's wait."""
         until_ms = now + min(retry_after_ms, MAX_RETRY_AFTER_MS)
         if not retry_after_ms > 0.0 or until_ms <= self._until_ms.get(destination, 0.0):
             return False
@@ -27,11 +27,11 @@
         return True
 
     def remaining_ms(self, now: float, destination: int) -> float:
-        """Return for how many ms a destination wants no request; 0 if it has no wait."""
+        """Return the remaining wait of a destination, ms; 0 if it has none."""
         return max(0.0, self._until_ms.get(destination, 0.0) - now)
 
     def active_waits(self, now: float) -> list[tuple[int, float]]:
-        """Return destination and remaining ms of all waits that are not over."""
+        """Return destination and remaining ms of all waits that have not ended."""
         return [
             (destination, until_ms - now)
             for destination, until_ms in self._until_ms.items()
--- a/winchspan/consensus/bootstrap.py
+++ b/winchspan/consensus/bootstrap.py
@@ -1,10 +1,10 @@
-"""Cluster bootstrap, and the membership changes that follow the configuration and lost data directories.
+"""Cluster bootstrap, and membership changes after configuration changes and lost data directories.
 
-A member is a node's name with the incarnation of its data directory, `name#incarnation`. A cluster is created
-once, when all configured nodes are connected and none has ever been in a cluster: by the node with the least
-name, for all. A node that comes back later with an empty directory has no vote until the leader has removed
-its old incarnation and added the new one, one change at a time. So no node ever votes under an incarnation
-whose votes are lost.
+A member ID consists of a node's name and the incarnation of its data directory: `name#incarnation`. The node
+with the smallest name creates the cluster once, when all configured nodes are connected and none has ever
+been in a cluster. A node that restarts with an empty directory has no vote until the leader has removed its
+old incarnation and added the new one, one change at a time. Thus no node votes under an incarnation whose
+votes are lost.
 """
 
 from __future__ import annotations
@@ -13,35 +13,35 @@
 
 
 def node_name(member: str) -> str:
-    """Return the name in `name#incarnation`."""
+    """Return the node name of a member ID `name#incarnation`."""
     return member.rpartition("#")[0]
 
 
 class ClusterBootstrap:
-    """What a node knows of the data directories of the others."""
+    """Tracks the data directories of the other nodes and derives membership changes from them."""
 
     def __init__(self, node_id: str, node_names: Iterable[str]) -> None:
-        """Start without knowledge of the others.
+        """Create a tracker without reports from other nodes.
 
         Args:
-            node_id: `name#incarnation` of this node.
-            node_names: all configured nodes, this one included.
+            node_id: member ID of this node, `name#incarnation`.
+            node_names: names of all configured nodes, including this one.
         """
         self.node_id = node_id
         self.node_names = set(node_names)
-        self._reported: dict[str, tuple[str, bool]] = {}  # by name: the member, and whether it is empty
+        self._reported: dict[str, tuple[str, bool]] = {}  # by name: member ID, is_empty
 
     def record_node(self, member: str, is_empty: bool) -> None:
-        """Record the data directory that a node reports, and whether it has never been in a cluster."""
+        """Record a node's reported member ID, and whether its data directory has never been in a cluster."""
         name = node_name(member)
         if name in self.node_names and name != node_name(self.node_id):
             self._reported[name] = member, is_empty
 
     def members_to_bootstrap(self, is_empty: bool) -> frozenset[str]:
-        """Return the members of the cluster that this node is to create now; empty if it is not to.
+        """Return the members of the cluster that this node must create now; empty if it must not create one.
 
         Args:
-            is_empty: whether this node's directory has never been in a cluster.
+            is_empty: whether this node's data directory has never been in a cluster.
         """
         is_first_node = node_name(self.node_id) == min(self.node_names)
         all_reported = len(self._reported) >= len(self.node_names) - 1
@@ -53,11 +53,11 @@
     def next_membership_change(
         self, members: frozenset[str], live_nodes: Iterable[str]
     ) -> frozenset[str] | None:
-        """Return the voting members that the leader is to propose next; None if no change is due.
+        """Return the voting members for the leader to propose next; None if no change is due.
 
         Args:
-            members: the voting members.
-            live_nodes: names of the nodes that are alive; no other is added, or removed for a new directory.
+            members: the current voting members.
+            live_nodes: names of the live nodes; only these are added, or removed because of a new directory.
         """
         for member in sorted(members):
             if node_name(member) not in self.node_names:
--- a/winchspan/consensus/election.py
+++ b/winchspan/consensus/election.py
@@ -8,52 +8,53 @@
 from winchspan.consensus.messages import RequestVote, RequestVoteReply
 from winchspan.consensus.node_state import NodeState, RaftRole
 
-MAX_TIMEOUT_FACTOR: Final = 1.5  # the election timeout is drawn between one and so many times its minimum
-STEP_DOWN_TIMEOUTS: Final = 3  # election timeouts before a leader that stepped down campaigns again
-RETRY_FACTORS: Final = (0.1, 0.4)  # of the minimum timeout, until a candidate that lost a split vote retries
+MAX_TIMEOUT_FACTOR: Final = 1.5  # largest randomised election timeout, as a multiple of the minimum
+STEP_DOWN_TIMEOUT_FACTOR: Final = 3  # election timeouts until a leader that stepped down campaigns again
+SPLIT_VOTE_RETRY_FACTORS: Final = (0.1, 0.4)  # delay of a retry after a split vote, in minimum timeouts
 
 
 class Election:
-    """One node's part in elections: its timer, the votes that it collects and those that it gives."""
+    """Leader election on one node: the election timer, votes received and votes granted."""
 
     def __init__(self, shared_state: NodeState, seed: int, now: float) -> None:
         """Start the election timer.
 
         Args:
-            shared_state: of the node.
-            seed: of the random timeouts.
+            shared_state: state of the node.
+            seed: seed of the random timeouts.
             now: clock reading, ms.
         """
         self._shared_state = shared_state
         self._rng = random.Random(seed)
         self._votes: set[str] = set()
-        # The previous incarnation may have heard a leader a moment ago, and stickiness still binds this node:
-        # leases rely on no vote for another within an election timeout (winchspan/leases/manager.py).
-        self._leader_contact_at = now if shared_state.term else float("-inf")
-        self.deadline_ms = self.draw_deadline(now)
+        # The previous process may have had contact with a leader just before the restart. Stickiness
+        # therefore applies from the start: leases rely on no vote for another candidate within an election
+        # timeout of the last contact (winchspan/leases/manager.py).
+        self._leader_contact_ms = now if shared_state.term else float("-inf")
+        self.deadline_ms = self.draw_deadline_ms(now)
 
     @property
     def vote_count(self) -> int:
         """Number of votes collected in the current election."""
         return len(self._votes)
 
-    def draw_deadline(self, now: float) -> float:
-        """Return when the next randomised election timeout ends.
+    def draw_deadline_ms(self, now: float) -> float:
+        """Return the clock reading at which a new randomised election timeout ends, ms.
 
-        Votes are exchanged within a few ms here, so a spread of 300 ms separates candidates (9.3).
+        An exchange of votes takes a few ms, so a spread of 300 ms separates candidates (9.3).
         """
         return now + self._shared_state.timing.election_timeout_ms * self._rng.uniform(
             1.0, MAX_TIMEOUT_FACTOR
         )
 
     def campaign(self, now: float, pre_vote: bool) -> bool:
-        """Ask for votes; with `pre_vote` for pre-votes, so that a partitioned node raises no term (9.6).
+        """Request votes, or pre-votes, which keep a partitioned node from raising its term (9.6).
 
         Returns:
-            Whether the election is won already.
+            Whether the election is already won.
         """
         state = self._shared_state
-        self.deadline_ms = self.draw_deadline(now)
+        self.deadline_ms = self.draw_deadline_ms(now)
         if state.node_id not in state.log.members or state.is_suspended:
             return False
         state.role = RaftRole.PRE_CANDIDATE if pre_vote else RaftRole.CANDIDATE
@@ -71,10 +72,10 @@
         return self._count_votes(now)
 
     def handle_request_vote(self, now: float, source: str, request: RequestVote) -> None:
-        """Answer a candidate."""
+        """Reply to a candidate's request for a vote or a pre-vote."""
         state = self._shared_state
-        if self._hears_leader(now) and state.leader != source:
-            # Neither vote nor adopt a later term while a leader is heard (4.2.3).
+        if self._has_recent_leader_contact(now) and state.leader != source:
+            # Neither vote nor adopt a later term within an election timeout of contact with a leader (4.2.3).
             state.send(source, RequestVoteReply(state.term, False, request.pre))
             return
         if request.term > state.term and not request.pre:
@@ -92,10 +93,10 @@
         state.send(source, RequestVoteReply(state.term, granted, False))
 
     def handle_vote_reply(self, now: float, source: str, reply: RequestVoteReply) -> bool:
-        """Count a vote.
+        """Process the reply to a request for a vote or a pre-vote.
 
         Returns:
-            Whether the election is won by it.
+            Whether this vote wins the election.
         """
         state = self._shared_state
         expected_role = RaftRole.PRE_CANDIDATE if reply.pre else RaftRole.CANDIDATE
@@ -105,54 +106,55 @@
             return self._count_votes(now)
         is_refusal = not reply.pre and not reply.granted and reply.term == state.term
         if state.role is RaftRole.CANDIDATE and is_refusal:
-            # Another candidate stands in the same term: retry soon, at another moment than it does. Otherwise
-            # two that begin at once leave the cluster without a leader for a whole election timeout.
-            retry_at = now + state.timing.election_timeout_ms * self._rng.uniform(*RETRY_FACTORS)
-            self.deadline_ms = min(self.deadline_ms, retry_at)
+            # Another candidate got the vote in the same term. Retry after a short random delay: without it,
+            # two simultaneous candidates leave the cluster without a leader for a full election timeout.
+            retry_ms = now + state.timing.election_timeout_ms * self._rng.uniform(*SPLIT_VOTE_RETRY_FACTORS)
+            self.deadline_ms = min(self.deadline_ms, retry_ms)
         return False
 
     def become_follower(self, now: float, term: int, reason: str) -> None:
-        """Follow a leader that is not known yet, in the current term or in a later one."""
+        """Become a follower without a known leader, in the current term or a later one."""
         state = self._shared_state
         if term > state.term:
             state.term = term
             state.voted_for = ""
             state.persist()
         state.role = RaftRole.FOLLOWER
-        self.deadline_ms = self.draw_deadline(now)
+        self.deadline_ms = self.draw_deadline_ms(now)
         state.set_leader("", reason)
 
     def step_down(self, now: float, reason: str) -> None:
-        """Lead no more, and let the others elect another leader first.
+        """Stop leading, and let the other members elect a leader first.
 
-        Stickiness binds the former leader as it binds its followers: leases rely on no vote for another
-        within an election timeout.
+        Stickiness applies to the former leader as to its followers: leases rely on no vote for another
+        candidate within an election timeout.
         """
         state = self._shared_state
         self.become_follower(now, state.term, reason)
-        self._leader_contact_at = now
-        self.deadline_ms = now + STEP_DOWN_TIMEOUTS * state.timing.election_timeout_ms
+        self._leader_contact_ms = now
+        self.deadline_ms = now + STEP_DOWN_TIMEOUT_FACTOR * state.timing.election_timeout_ms
 
-    def lose_quorum(self, now: float) -> None:
-        """Lead no more, since no majority has answered (6.2).
+    def step_down_without_quorum(self, now: float) -> None:
+        """Stop leading, because no majority has replied within the quorum timeout (6.2).
 
-        Stickiness binds it as it binds its followers, of whom a majority last answered what it sent a quorum
-        timeout ago, or earlier. Leases may rest on that for the rest of an election timeout.
+        Stickiness applies to the former leader as to its followers. A majority has last replied to heartbeats
+        sent a quorum timeout ago or earlier, and leases may rely on these for the rest of an election
+        timeout.
         """
         self.become_follower(now, self._shared_state.term, "no quorum of heartbeat replies")
-        self._leader_contact_at = now - self._shared_state.timing.quorum_timeout_ms
+        self._leader_contact_ms = now - self._shared_state.timing.quorum_timeout_ms
 
     def observe_leader(self, now: float, leader: str) -> None:
-        """Follow the leader of the current term, which has just been heard."""
+        """Follow the leader of the current term after a message from it."""
         self._shared_state.role = RaftRole.FOLLOWER
-        self._leader_contact_at = now
-        self.deadline_ms = self.draw_deadline(now)
+        self._leader_contact_ms = now
+        self.deadline_ms = self.draw_deadline_ms(now)
         self._shared_state.set_leader(leader, "leader contact")
 
-    def _hears_leader(self, now: float) -> bool:
+    def _has_recent_leader_contact(self, now: float) -> bool:
         state = self._shared_state
         return (
-            state.role is RaftRole.LEADER or now < self._leader_contact_at + state.timing.election_timeout_ms
+            state.role is RaftRole.LEADER or now < self._leader_contact_ms + state.timing.election_timeout_ms
         )
 
     def _grant_vote(self, now: float, candidate: str) -> None:
@@ -160,7 +162,7 @@
         if not state.voted_for:
             state.voted_for = candidate
             state.persist()
-        self.deadline_ms = self.draw_deadline(now)
+        self.deadline_ms = self.draw_deadline_ms(now)
 
     def _count_votes(self, now: float) -> bool:
         state = self._shared_state
--- a/winchspan/consensus/messages.py
+++ b/winchspan/consensus/messages.py
@@ -1,7 +1,6 @@
 """Messages, persistent state and commands of Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014).
 
-The field names of the log entries, the snapshots and the messages are those of the encoded frames between
-nodes.
+The field names of log entries, snapshots and messages are the keys of the encoded frames between nodes.
 """
 
 from __future__ import annotations
@@ -13,14 +12,14 @@
 class EntryKind(IntEnum):
     """The kind of a log entry."""
 
-    NOTHING = 0  # a new leader's first entry, which commits those of earlier terms (6.4)
+    NO_OP = 0  # first entry of a new leader, which commits the entries of earlier terms (6.4)
     COMMAND = 1
-    MEMBERS = 2  # changes the voting members from here on, committed or not (4.1)
+    MEMBERS = 2  # voting members from this index on, whether the entry is committed or not (4.1)
 
 
 @dataclass(frozen=True, slots=True)
 class LogEntry:
-    """An entry of the replicated log; the first has index 1."""
+    """An entry of the replicated log; the first entry has index 1."""
 
     index: int
     term: int
@@ -31,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The state after all entries up to an index, that one included."""
+    """The state after all entries up to and including an index."""
 
     index: int = 0
     term: int = 0
@@ -41,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestVote:
-    """A candidate's request for a vote (3.4); with `pre` for a pre-vote (9.6)."""
+    """A candidate's request for a vote (3.4), or for a pre-vote if `pre` is set (9.6)."""
 
     term: int
     last_index: int
@@ -60,19 +59,22 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendEntries:
-    """A leader's entries behind one that the follower is thought to have; without entries a heartbeat."""
+    """Log entries of a leader that follow the entry at `prev_index`; a heartbeat if there are none."""
 
     term: int
     prev_index: int
     prev_term: int
     entries: tuple[LogEntry, ...]
     commit: int  # the leader's commit index
-    round: int  # number of the heartbeat round, by which a reply proves recent contact
+    round: int  # number of the heartbeat round; a reply repeats it, which proves recent contact
 
 
 @dataclass(frozen=True, slots=True)
 class AppendEntriesReply:
-    """The reply: up to which index the logs agree, or if rejected from where the leader may try next."""
+    """The reply to `AppendEntries` or `InstallSnapshot`.
+
+    `match` is the index up to which the logs agree or, if rejected, the index at which the leader may retry.
+    """
 
     term: int
     accepted: bool
@@ -82,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstallSnapshot:
-    """A snapshot for a follower that lacks entries which the leader has compacted (5)."""
+    """A snapshot for a follower that needs entries that the leader has compacted (5)."""
 
     term: int
     snapshot: Snapshot
@@ -94,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistentState:
-    """What a node keeps on disk: term, vote, log, and the snapshot before the log."""
+    """The persistent state of a node: term, vote, log, and the snapshot that precedes the log."""
 
     term: int = 0
     voted_for: str = ""
@@ -102,14 +104,14 @@
     entries: tuple[LogEntry, ...] = ()
 
 
-# ---- commands, to be carried out in their order ----------------------------------------------------------
+# ---- commands, to be executed in order -------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class PersistState:
-    """Write to disk before any later `SendMessage` leaves."""
+    """Write to disk before any later `SendMessage` is executed."""
 
     term: int
     voted_for: str
-    truncate_from: int = 0  # drop the entries from this index on; 0 drops none
+    truncate_from: int = 0  # first index to remove; 0 removes no entry
     entries: tuple[LogEntry, ...] = ()
     snapshot: Snapshot | None = None
 
@@ -124,21 +126,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CommitEntry:
-    """Apply a committed entry, which is the same at this index on all nodes."""
+    """Apply a committed entry; all nodes have the same entry at its index."""
 
     entry: LogEntry
 
 
 @dataclass(frozen=True, slots=True)
 class RestoreSnapshot:
-    """Replace the applied state by a snapshot."""
+    """Replace the applied state with a snapshot."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderChanged:
-    """Take note of the leader of a term; empty if none is known."""
+    """The leader of a term has changed; `leader` is empty if it is unknown."""
 
     leader: str
     term: int
--- a/winchspan/consensus/node_state.py
+++ b/winchspan/consensus/node_state.py
@@ -1,4 +1,4 @@
-"""State that elections and replication of one Raft node share, and the commands that they have issued."""
+"""State shared by election and replication of one Raft node, and the commands that they emit."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class RaftRole(Enum):
-    """What a node is in its current term."""
+    """The role of a node in its current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -29,15 +29,15 @@
 
 
 class NodeState:
-    """Term, vote, role and log of one node, with the ordered list of commands for its caller."""
+    """Term, vote, role and log of one node, and the ordered list of commands for the caller."""
 
     def __init__(self, node_id: str, persistent_state: PersistentState, timing: RaftTiming) -> None:
         """Restore the state.
 
         Args:
             node_id: `name#incarnation` of this node.
-            persistent_state: as the store holds it.
-            timing: the cluster's timeouts.
+            persistent_state: state restored from the store.
+            timing: timeouts of the cluster.
         """
         self.node_id = node_id
         self.timing = timing
@@ -51,22 +51,22 @@
 
     @property
     def other_members(self) -> list[str]:
-        """The voting members but this one, sorted."""
+        """The voting members except this node, sorted."""
         return sorted(self.log.members - {self.node_id})
 
     def has_quorum(self, node_ids: set[str]) -> bool:
-        """Return whether a majority of the voting members is among some nodes."""
+        """Return whether the given nodes include a majority of the voting members."""
         members = self.log.members
         return 2 * len(node_ids & members) > len(members)
 
     def set_leader(self, leader: str, reason: str) -> None:
-        """Record who leads, empty if unknown, and report a change."""
+        """Set the leader, empty if unknown, and emit `LeaderChanged` if it differs."""
         if leader != self.leader:
             self.leader = leader
             self.emit(LeaderChanged(leader, self.term, reason))
 
     def commit_up_to(self, index: int) -> None:
-        """Commit the entries up to an index, as far as the log has them."""
+        """Commit the entries up to an index or to the end of the log, whichever comes first."""
         last_index = min(index, self.log.last_position.log_index)
         for next_index in range(self.log.commit_index + 1, last_index + 1):
             entry = self.log.entry_at(next_index)
@@ -80,12 +80,12 @@
         entries: tuple[LogEntry, ...] = (),
         snapshot: Snapshot | None = None,
     ) -> None:
-        """Change the log and have the change, the term and the vote written to disk.
+        """Change the log, and emit a command that writes the change, the term and the vote to disk.
 
         Args:
-            truncate_from: drop the entries from this index on; 0 drops none.
-            entries: to append.
-            snapshot: to write; the log has taken it over already.
+            truncate_from: first index to remove; 0 removes no entry.
+            entries: entries to append.
+            snapshot: snapshot to write, which the log already contains.
         """
         if truncate_from:
             self.log.truncate_from(truncate_from)
@@ -93,7 +93,7 @@
         self.emit(PersistState(self.term, self.voted_for, truncate_from, entries, snapshot))
 
     def send(self, target: str, message: Message) -> None:
-        """Have a message sent to another node."""
+        """Emit a command that sends a message to another node."""
         self.emit(SendMessage(target, message))
 
     def emit(self, command: RaftCommand) -> None:
@@ -101,7 +101,7 @@
         self._commands.append(command)
 
     def take_commands(self) -> list[RaftCommand]:
-        """Return the commands issued since the last call, in order; no messages while suspended."""
+        """Return the commands emitted since the last call, in order, without messages while suspended."""
         commands = self._commands
         self._commands = []
         return [
--- a/winchspan/consensus/raft.py
+++ b/winchspan/consensus/raft.py
@@ -1,13 +1,13 @@
-"""Raft consensus as a sans-I/O state machine: messages and clock readings in, ordered commands out.
+"""Raft consensus as a sans-I/O state machine: takes messages and clock readings, returns ordered commands.
 
 Implements Ongaro's dissertation (2014): elections (3.4) with pre-votes (9.6) and leader stickiness (4.2.3),
 log replication (3.5), the restriction on commitment (3.6.2), check-quorum (6.2), membership changes of one
-node at a time (4.1) and snapshots (5). The caller carries the commands out in their order: what a
-`PersistState` holds is on disk before any `SendMessage` after it leaves. While the disk accepts no writes,
-the node is suspended and sends nothing.
+node at a time (4.1) and snapshots (5). The caller executes the commands in order: a `PersistState` must be on
+disk before any later `SendMessage` is executed. While the disk accepts no writes, the node is suspended and
+sends nothing.
 
 A node is identified by its name and the incarnation of its data directory (`name#incarnation`). A node that
-has lost its data directory comes back under another identifier, which has no vote until it is admitted anew.
+has lost its data directory restarts under another ID, which has no vote until the cluster admits it.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 from winchspan.consensus.replication import FollowerReplication, LeaderReplication
 from winchspan.consensus.timing import RaftTiming
 
-MAX_UNCOMMITTED_ENTRIES: Final = 256  # further proposals are rejected
-LATE_TICK_FACTOR: Final = 0.5  # of a heartbeat; a tick that is later shows that the process was stalled
+MAX_UNCOMMITTED_ENTRIES: Final = 256  # the leader rejects proposals beyond this number
+LATE_TICK_FACTOR: Final = 0.5  # lateness of a tick, in heartbeats, beyond which the process was stalled
 
 
 class Raft:
@@ -48,14 +48,14 @@
         now: float,
         timing: RaftTiming | None = None,
     ) -> None:
-        """Start a node from what its previous incarnation has persisted.
+        """Start a node from the persisted state of its previous process.
 
         Args:
-            node_id: this node, `name#incarnation`.
-            persistent_state: from the store; empty for a node that has never been a member.
-            seed: of the random election timeouts.
+            node_id: ID of this node, `name#incarnation`.
+            persistent_state: state restored from the store; empty for a node that has never been a member.
+            seed: seed of the random election timeouts.
             now: clock reading, ms.
-            timing: the cluster's timeouts.
+            timing: timeouts of the cluster.
         """
         self.state = NodeState(node_id, persistent_state, timing or RaftTiming())
         self.election = Election(self.state, seed, now)
@@ -65,7 +65,7 @@
     # ---- state -------------------------------------------------------------------------------------------
     @property
     def node_id(self) -> str:
-        """This node, `name#incarnation`."""
+        """ID of this node, `name#incarnation`."""
         return self.state.node_id
 
     @property
@@ -75,7 +75,7 @@
 
     @property
     def role(self) -> RaftRole:
-        """What this node is in the current term."""
+        """The role of this node in the current term."""
         return self.state.role
 
     @property
@@ -85,7 +85,7 @@
 
     @property
     def log(self) -> RaftLog:
-        """The log with its snapshot."""
+        """The replicated log, including its snapshot."""
         return self.state.log
 
     @property
@@ -114,18 +114,18 @@
         return self.state.is_suspended
 
     @property
-    def next_tick_at(self) -> float:
+    def tick_due_ms(self) -> float:
         """Clock reading at which `tick` is due, ms."""
         if self.role is RaftRole.LEADER:
             return min(self._leader_replication.next_heartbeat_ms, self.election.deadline_ms)
         return self.election.deadline_ms
 
     def has_confirmed_leadership(self, now: float) -> bool:
-        """Return whether no other node can be elected by now, and all committed entries are known here.
+        """Return whether no other node can have been elected, and this node has all committed entries.
 
-        This is stricter than check-quorum: answers to heartbeats sent within
-        `RaftTiming.confirmation_window_ms` count. Leases that rest on it end by so much sooner before another
-        node can be elected (winchspan/leases/manager.py).
+        This is stricter than check-quorum: only replies to heartbeats sent within
+        `RaftTiming.confirmation_window_ms` count. The shorter window leaves more time between the end of a
+        lease renewed under this check and the election of another leader (winchspan/leases/manager.py).
         """
         return (
             self.role is RaftRole.LEADER
@@ -135,7 +135,7 @@
         )
 
     def has_recent_contact(self, now: float, node_id: str, within_ms: float) -> bool:
-        """Return whether a node has answered this leader's heartbeat sent within a time."""
+        """Return whether a node has replied to a heartbeat that this leader sent in the last `within_ms`."""
         if node_id == self.node_id:
             return True
         is_leader = self.role is RaftRole.LEADER
@@ -143,7 +143,7 @@
 
     # ---- inputs ------------------------------------------------------------------------------------------
     def tick(self, now: float) -> list[RaftCommand]:
-        """Do what is due: heartbeats and check-quorum as leader, a campaign otherwise."""
+        """Process due timeouts: heartbeats and check-quorum as leader, an election timeout otherwise."""
         if self.role is RaftRole.LEADER:
             self._tick_leader(now)
         else:
@@ -151,7 +151,7 @@
         return self.state.take_commands()
 
     def handle_message(self, now: float, source: str, message: Message) -> list[RaftCommand]:
-        """Handle a message of another node."""
+        """Process a message from another node."""
         if isinstance(message, RequestVote):
             self.election.handle_request_vote(now, source, message)
             return self.state.take_commands()
@@ -175,11 +175,13 @@
         return self.state.take_commands()
 
     def propose(self, now: float, data: bytes) -> tuple[int, list[RaftCommand]]:
-        """Propose a command to be replicated.
+        """Propose a command for replication.
 
         Returns:
-            The index of its entry, and the commands; 0 if this node does not lead or too many entries are
-            uncommitted. Another entry may be committed at that index if the leader changes.
+            The index of the command's log entry, and the commands to execute. The index is 0 if the proposal
+            is rejected: this node does not lead or is suspended, or too many entries are uncommitted. Another
+                entry
+            may be committed at the index if the leader changes.
         """
         is_full = self.log.uncommitted_count >= MAX_UNCOMMITTED_ENTRIES
         if self.role is not RaftRole.LEADER or is_full or self.is_suspended:
@@ -188,13 +190,13 @@
         return index, self.state.take_commands()
 
     def change_membership(self, now: float, members: frozenset[str]) -> tuple[int, list[RaftCommand]]:
-        """Propose other voting members: one more, or one fewer (4.1).
+        """Propose to add or remove one voting member (4.1).
 
-        Rejected before this leader has committed an entry of its own term, and while another change is
-        pending (Ongaro's correction of 2015 to 4.1).
+        The change is rejected until this leader has committed an entry of its own term, and while another
+        change is pending (Ongaro's correction of 2015 to 4.1).
 
         Returns:
-            The index of the entry, 0 if rejected, and the commands.
+            The index of the log entry, 0 if rejected, and the commands to execute.
         """
         is_single_change = len(members ^ self.members) == 1 and bool(members)
         if (
@@ -209,7 +211,7 @@
         return index, self.state.take_commands()
 
     def bootstrap(self, now: float, members: frozenset[str]) -> list[RaftCommand]:
-        """Create a cluster; the caller makes sure that no member has ever been in one."""
+        """Create a cluster; the caller ensures that no member has ever been in a cluster."""
         assert not self.log.entries
         assert not self.snapshot.index
         assert self.term == 0
@@ -218,7 +220,7 @@
         return self.state.take_commands()
 
     def compact(self, index: int, data: bytes) -> list[RaftCommand]:
-        """Replace the entries up to a committed index by a snapshot with the given state (5)."""
+        """Replace the entries up to a committed index with a snapshot of the given state (5)."""
         if not self.snapshot.index < index <= self.commit_index:
             return []
         snapshot = self.log.compact(index, data)
@@ -226,7 +228,7 @@
         return self.state.take_commands()
 
     def step_down(self, now: float, reason: str) -> list[RaftCommand]:
-        """Lead no more, and let the other members elect another leader first."""
+        """Stop leading, and let the other members elect a leader first."""
         if self.role is RaftRole.LEADER:
             self.election.step_down(now, reason)
         return self.state.take_commands()
@@ -243,7 +245,7 @@
         timing = self.state.timing
         if self.election.deadline_ms <= now:
             if not self._leader_replication.has_recent_quorum(now, timing.quorum_timeout_ms):  # 6.2
-                self.election.lose_quorum(now)
+                self.election.step_down_without_quorum(now)
                 return
             self.election.deadline_ms = now + timing.heartbeat_ms
         if self._leader_replication.next_heartbeat_ms <= now:
@@ -251,9 +253,9 @@
 
     def _tick_follower(self, now: float) -> None:
         heartbeat_ms = self.state.timing.heartbeat_ms
-        if now - self.next_tick_at > LATE_TICK_FACTOR * heartbeat_ms:
-            # The process was stalled, and a leader's message may lie unread. A stalled leader is not spared:
-            # see LeaderReplication.has_recent_quorum.
+        if now - self.tick_due_ms > LATE_TICK_FACTOR * heartbeat_ms:
+            # The process was stalled, and a message of the leader may be unread: wait for another heartbeat.
+            # A stalled leader gets no such delay, see LeaderReplication.has_recent_quorum.
             self.election.deadline_ms = max(self.election.deadline_ms, now + heartbeat_ms)
         if self.election.deadline_ms <= now and self.election.campaign(now, pre_vote=True):
             self._become_leader(now)
@@ -266,7 +268,7 @@
         )
         self._leader_replication.start_term()
         self.election.deadline_ms = now + state.timing.quorum_timeout_ms
-        self._leader_replication.append_entry(now, EntryKind.NOTHING)  # commits earlier terms' entries (6.4)
+        self._leader_replication.append_entry(now, EntryKind.NO_OP)  # commits earlier terms' entries (6.4)
 
     def _has_committed_in_term(self) -> bool:
         return self.log.term_at(self.commit_index) == self.term
--- a/winchspan/consensus/rollback_detection.py
+++ b/winchspan/consensus/rollback_detection.py
@@ -1,12 +1,13 @@
 """Detection of a data directory that was restored from a backup.
 
-Such a directory lacks votes and entries that other nodes rely on. What a process has found in its directory
-when it started must cover all that earlier processes of the directory have told anybody: how many processes
-have started with it, their terms, the commit index (committed entries are never taken back: Ongaro 2014,
-3.6.3), and by term the vote and the entries that they have acknowledged. The other nodes remember what they
-have heard, whether in an announcement or in a message of the consensus, and tell it back.
-
-What the directory holds by now proves nothing: a leader may have sent the lost entries again already.
+Such a directory lacks votes and entries that other nodes rely on. The state that a process loads from its
+directory at its start must cover everything that earlier processes of the directory have sent to other nodes:
+the number of process starts, their terms, the commit index (committed entries are never reverted: Ongaro
+2014, 3.6.3), and per term the vote and the acknowledged entries. The other nodes record these values from
+announcements and from consensus messages, and send them back to the node.
+
+The present state of the directory is no evidence, because a leader may already have sent the lost entries
+again.
 """
 
 from __future__ import annotations
@@ -28,21 +29,21 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreProgress:
-    """What a node reports of its data directory.
+    """A node's report about its data directory.
 
-    The field names are those of the encoded message.
+    The field names are the keys of the encoded message.
     """
 
-    start: int  # number of processes that have started with the directory, this one included
+    start: int  # number of processes that have started with the directory, including this one
     life: int  # nonce of this process
-    term: int  # of the consensus
+    term: int  # Raft term
     commit: int  # commit index
     last: int  # index of the last log entry
 
     def describe_rollback(self, known: StoreProgress) -> str:
-        """Describe what this directory lacks of what it has had before; empty if nothing."""
+        """Describe the state that this directory has lost since an earlier report; empty if none."""
         if not self.start:
-            return ""  # an earlier version, which does not report its directory
+            return ""  # an earlier software version, which sends no report
         is_other_process = self.start == known.start and self.life != known.life
         if self.start < known.start or is_other_process:
             return f"start {self.start} of {known.start}"
@@ -51,13 +52,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedState:
-    """What a process has found in its data directory when it started.
+    """The state that a process has loaded from its data directory at its start.
 
-    The field names are those of the encoded message.
+    The field names are the keys of the encoded message.
     """
 
     term: int
-    vote: str  # the candidate that got the vote in the term; empty if none did
+    vote: str  # candidate that got this node's vote in the term; empty if there is none
     last: int  # index of the last log entry
 
     @classmethod
@@ -67,7 +68,7 @@
         return cls(state.term, state.voted_for, last.log_index)
 
     def describe_rollback(self, known: StoreProgress, promise: Promise) -> str:
-        """Describe what is missing of what earlier processes have told; empty if nothing."""
+        """Describe the missing state that earlier processes have sent to other nodes; empty if none."""
         missing = _describe_missing(self.term, self.last, known)
         if missing or self.term > promise.term:
             return missing
@@ -82,41 +83,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """What a node has bound itself to in a term, as another node has heard it.
+    """The vote and the log entries to which a node has committed itself in a term by its messages.
 
-    The field names are those of the encoded message.
+    The field names are the keys of the encoded message.
     """
 
     term: int = 0
-    vote: str = ""  # the candidate that has its vote; empty if none is known
-    index: int = 0  # of the last entry that it has said to have; 0 if none is known
-    entry_term: int = 0  # of that entry; 0 if it is not known
+    vote: str = ""  # candidate that got the node's vote; empty if unknown
+    index: int = 0  # index of the last entry that the node has acknowledged or sent; 0 if unknown
+    entry_term: int = 0  # term of that entry; 0 if unknown
 
     def merged(self, other: Promise) -> Promise:
-        """Return what both bind to; within a term, entries that are acknowledged stay (Ongaro 2014, 3.5)."""
+        """Return the union of two promises; within a term, acknowledged entries stay (Ongaro 2014, 3.5)."""
         if other.term != self.term:
             return max(self, other, key=lambda promise: promise.term)
         further = max(self, other, key=lambda promise: promise.index)
         return Promise(self.term, other.vote or self.vote, further.index, further.entry_term)
 
-    def is_kept_by(self, state: PersistentState) -> bool:
-        """Return whether a persistent state holds the very entry, where its term is known."""
+    def is_satisfied_by(self, state: PersistentState) -> bool:
+        """Return whether a persistent state contains the promised entry; True if its term is unknown."""
         if state.term != self.term or not self.entry_term or self.index <= state.snapshot.index:
             return True
         return RaftLog(state.snapshot, state.entries).term_at(self.index) == self.entry_term
 
 
-def promise_in(
+def promise_of_message(
     message: Message, source: str, receiver: str, leader_term_at: Callable[[int], int | None] | None
 ) -> Promise | None:
-    """Return what a node binds itself to by a message; None if nothing.
+    """Return the promise that a node makes by a consensus message; None if it makes none.
 
     Args:
-        message: of the consensus.
-        source: who has sent it, `name#incarnation`.
-        receiver: who has got it, `name#incarnation`.
-        leader_term_at: returns the term of an entry of the receiver's log, if the receiver leads in the
-            message's term, so that the log is what the sender has acknowledged; else None.
+        message: consensus message.
+        source: sender of the message, `name#incarnation`.
+        receiver: receiver of the message, `name#incarnation`.
+        leader_term_at: returns the term of an entry of the receiver's log. Given only if the receiver leads
+            in the message's term, because only then the sender has acknowledged entries of this log; else
+            None.
     """
     match message:
         case RequestVote() | RequestVoteReply() if message.pre:
@@ -136,26 +138,26 @@
 
 
 class RollbackDetector:
-    """What each node has reported and promised, by the node's name."""
+    """Reports and promises of other nodes, by node name."""
 
     def __init__(self) -> None:
-        self._known: dict[str, tuple[str, StoreProgress]] = {}  # by name: the member and its progress
-        self._promises: dict[str, tuple[str, Promise]] = {}  # by name: the member and what it has promised
+        self._known: dict[str, tuple[str, StoreProgress]] = {}  # by name: member ID, highest progress
+        self._promises: dict[str, tuple[str, Promise]] = {}  # by name: member ID, merged promise
         self._rolled_back: set[str] = set()  # names of nodes
 
     def record_progress(
         self, name: str, member: str, progress: StoreProgress, loaded: LoadedState | None = None
     ) -> str:
-        """Compare a node's report with its earlier ones, and remember it unless it is a rollback.
+        """Compare a node's report with its earlier reports, and record it unless it is a rollback.
 
         Args:
-            name: of the node.
-            member: `name#incarnation` of its data directory.
-            progress: as reported.
-            loaded: what its process has found in the directory; None: it does not report that.
+            name: name of the node.
+            member: member ID of its data directory, `name#incarnation`.
+            progress: reported progress.
+            loaded: reported state that the process loaded at its start; None if it is not reported.
 
         Returns:
-            What the directory lacks; empty if nothing.
+            A description of the missing state; empty if none is missing.
         """
         known_member, known = self._known.get(name, ("", None))
         if known is None or known_member != member:
@@ -175,25 +177,25 @@
         return ""
 
     def record_promise(self, name: str, member: str, promise: Promise) -> None:
-        """Remember what a node has bound itself to by a message of the consensus."""
+        """Record a promise that a node has made by a consensus message."""
         self._promises[name] = member, self.known_promise(name, member).merged(promise)
 
     def is_rolled_back(self, name: str) -> bool:
-        """Return whether a node's latest report came from an older state of its directory."""
+        """Return whether a node's latest report showed an older state of its directory."""
         return name in self._rolled_back
 
     def known_progress(self, name: str) -> tuple[str, StoreProgress] | None:
-        """Return a node's member and its highest progress, to be told back to it."""
+        """Return a node's member ID and its highest progress, to send back to the node."""
         return self._known.get(name)
 
     def known_promise(self, name: str, member: str) -> Promise:
-        """Return what a member has bound itself to, to be told back to it."""
+        """Return the merged promise of a member, to send back to the member."""
         known_member, promise = self._promises.get(name, ("", Promise()))
         return promise if known_member == member else Promise()
 
 
 def _describe_missing(term: int, last: int, known: StoreProgress) -> str:
-    """Describe what a directory with a term and a last entry lacks of what it has reported."""
+    """Describe the reported state that a directory with a given term and last entry lacks."""
     if term < known.term:
         return f"term {term} of {known.term}"
     if last < known.commit:
--- a/winchspan/consensus/store.py
+++ b/winchspan/consensus/store.py
@@ -1,15 +1,15 @@
-"""Stable storage of one consensus member: term, vote, log and snapshot, on disk before messages tell of them.
+"""Stable storage of one consensus member: term, vote, log and snapshot, written before dependent messages.
 
-The files alternate (`winchspan.storage.rotating_file`) and hold these kinds of records, each a JSON object
+The files alternate (`winchspan.storage.rotating_file`) and contain these kinds of records, each a JSON object
 with its kind under `t`:
 
-    birth   name, id                    whose directory it is, and its instance; once, before all others
-    start   n                           the n-th process begins with this directory
+    birth   name, id                    member name and instance ID of the directory; the first record
+    start   n                           the n-th process has started with this directory
     kept    term, vote,                 one `PersistState`; `cut` is the index of the first entry that is
             [cut], [entries],           removed, an entry is [index, term, kind, data in hex, members], a
             [snapshot]                  snapshot [index, term, members, data in hex]
 
-A torn tail is cut off at recovery: nothing that a message told of is in it, since messages wait for the
+Recovery truncates a torn tail. No message has referred to its content, because messages are sent after the
 write.
 """
 
@@ -28,18 +28,18 @@
 from winchspan.storage.record_file import Record, encode_record
 from winchspan.storage.rotating_file import RotatingRecordFile
 
-MAX_STORE_BYTES: Final = 512 * 1024  # of both files together
-_MIN_GARBAGE_BYTES: Final = 32 * 1024  # below this much dead weight a file is not compacted
+MAX_STORE_BYTES: Final = 512 * 1024  # size of both files together
+_MIN_GARBAGE_BYTES: Final = 32 * 1024  # a file with less obsolete data is not compacted
 _FIRST_FILE: Final = "agreement.log"
 _SECOND_FILE: Final = "agreement.log.2"
 
 
 class ConsensusStoreError(StorageError):
-    """The directory belongs to another member; the message names it."""
+    """The directory belongs to another member, which the message names."""
 
 
 def apply_persist_state(state: PersistentState, command: PersistState) -> PersistentState:
-    """Return what is on disk once a command is carried out."""
+    """Return the persistent state after the execution of a command."""
     entries, snapshot = state.entries, state.snapshot
     if command.snapshot is not None:
         snapshot = command.snapshot
@@ -52,8 +52,8 @@
 class ConsensusStore:
     """The files of one member.
 
-    While the disk is full, or the files have reached their limit, commands are kept as backlog; the caller
-    sends nothing until `flush_backlog` has written it.
+    Commands are queued as backlog while the disk is full or the files have reached their size limit. The
+    caller must not send messages until `flush_backlog` has written the backlog.
     """
 
     def __init__(
@@ -67,16 +67,16 @@
         """Open the files in a directory, or create them.
 
         Args:
-            directory: one that outlasts the process.
-            name: the member's.
-            instance_id: a random number over 0 for a directory that has none: a member that has lost its
-                directory comes back as another.
-            disk: the calls that change files.
-            limit_bytes: what both files may take together.
+            directory: directory that persists across restarts.
+            name: node name of the member.
+            instance_id: random positive number for a directory without one. A member that has lost its
+                directory thereby restarts under another member ID.
+            disk: interface to the system calls that change files.
+            limit_bytes: maximum size of both files together.
 
         Raises:
-            ConsensusStoreError: the directory is another member's.
-            OSError: the files cannot be opened or created.
+            ConsensusStoreError: if the directory belongs to another member.
+            OSError: if the files cannot be opened or created.
         """
         self._name = name
         self._max_file_bytes = limit_bytes // 2
@@ -95,45 +95,45 @@
             self._create()
         self._live_bytes = self._file.size_bytes
         self._start_count += 1
-        self._start_written = self._append(self._encode_start())  # if not, it is the first of the backlog
+        self._start_written = self._append(self._encode_start())  # if False, it is written before the backlog
 
     @property
     def state(self) -> PersistentState:
-        """What is on disk."""
+        """The state on disk."""
         return self._state
 
     @property
     def instance_id(self) -> int:
-        """The random number of the directory."""
+        """The random number that identifies the directory."""
         return self._instance_id
 
     @property
     def start_count(self) -> int:
-        """How many processes have begun with this directory, this one among them."""
+        """Number of processes that have started with this directory, including this one."""
         return self._start_count
 
     @property
     def member_id(self) -> str:
-        """The member as its peers know it: its name with the instance of its directory."""
+        """Member ID: the node name with the instance ID of the directory, `name#incarnation`."""
         return f"{self._name}#{self._instance_id:x}"
 
     @property
     def path(self) -> Path:
-        """The current file."""
+        """Path of the current file."""
         return self._file.path
 
     @property
     def has_backlog(self) -> bool:
-        """Whether something is owed that the disk has not taken."""
+        """Whether records are still to be written."""
         return bool(self._backlog) or not self._start_written
 
     def persist(self, command: PersistState) -> bool:
-        """Carry out a command; False if it is backlog, and nothing may be sent before `flush_backlog`."""
+        """Write a command; return False if it is queued and messages must wait for `flush_backlog`."""
         self._backlog.append(command)
         return self.flush_backlog()
 
     def flush_backlog(self) -> bool:
-        """Write the backlog; True if nothing is left of it."""
+        """Write the backlog; return whether all of it is written."""
         if not self._start_written and not self._append(self._encode_start()):
             return False
         self._start_written = True
@@ -148,7 +148,7 @@
         return True
 
     def close(self) -> None:
-        """Let go of the file."""
+        """Close the current file."""
         self._file.close()
 
     # ---- the file ----------------------------------------------------------------------------------------
@@ -173,7 +173,7 @@
         return True
 
     def _append(self, data: bytes) -> bool:
-        """Append one record; False if there is no capacity, and then no part of it is left."""
+        """Append one record; return False if there is no capacity, in which case no part of it remains."""
         if not self._has_capacity(data):
             self._compact()
             if not self._has_capacity(data):
@@ -192,7 +192,7 @@
         return self._file.size_bytes + len(data) <= self._max_file_bytes
 
     def _compact(self) -> None:
-        """Write the state to the other file and remove the current one; on failure this one stays."""
+        """Write the state to the other file and remove the current file, which stays if the write fails."""
         state = self._state
         snapshot = state.snapshot if state.snapshot.index else None
         command = PersistState(state.term, state.voted_for, 0, state.entries, snapshot)
--- a/winchspan/control/client.py
+++ b/winchspan/control/client.py
@@ -1,4 +1,4 @@
-"""The client of the control socket: one request after another, each with its reply."""
+"""The client of the control socket: sends one request at a time and waits for its reply."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Final
 
 from winchspan.control.protocol import (
-    FRAME_HEAD,
+    FRAME_HEADER,
     PROTOCOL_VERSION,
     ControlError,
     JsonValue,
@@ -21,7 +21,7 @@
 
 
 class ControlClient:
-    """One connection; every failure of it is a `ControlError`.
+    """One connection to a courier's control socket; raises `ControlError` for every failure.
 
     Example:
         client = ControlClient(Path("/run/winchspan/control"))
@@ -36,10 +36,10 @@
 
         Args:
             path: the courier's control socket.
-            timeout_seconds: for each step of a request: to connect, to send and to receive.
+            timeout_seconds: timeout of each socket operation: connect, send and receive.
 
         Raises:
-            ControlError: if no courier listens there.
+            ControlError: if no courier listens on the socket.
         """
         self._path = path
         self._last_id = 0
@@ -49,26 +49,26 @@
             self._socket.connect(str(path))
         except OSError as err:
             self._socket.close()
-            raise ControlError(f"{path}: no courier answers there: {err.strerror or err}") from None
+            raise ControlError(f"{path}: cannot connect to a courier: {err.strerror or err}") from None
 
     def call(self, command: str, /, **arguments: JsonValue) -> JsonValue:
         """Execute a command and return its data.
 
         Raises:
-            ControlError: with the courier's reason, or with what is wrong with the connection.
+            ControlError: if the courier rejects the command, the connection fails or the reply is invalid.
         """
         self._last_id += 1
         request = Request(PROTOCOL_VERSION, self._last_id, command, arguments)
         try:
             self._socket.sendall(encode_frame(request))
-            body_bytes = decode_length(self._receive(FRAME_HEAD.size))
+            body_bytes = decode_length(self._receive(FRAME_HEADER.size))
             reply = decode_reply(self._receive(body_bytes))
         except OSError as err:
-            raise ControlError(f"{self._path}: the courier does not answer: {err}") from None
+            raise ControlError(f"{self._path}: no reply from the courier: {err}") from None
         if reply.error:
             raise ControlError(reply.error)
         if reply.id != self._last_id:
-            raise ControlError(f"{self._path}: an answer to another question")
+            raise ControlError(f"{self._path}: reply has id {reply.id}, expected {self._last_id}")
         data: JsonValue = reply.data
         return data
 
@@ -81,6 +81,8 @@
         while len(data) < size:
             chunk = self._socket.recv(size - len(data))
             if not chunk:
-                raise ControlError(f"{self._path}: the courier has closed the connection")
+                raise ControlError(
+                    f"{self._path}: the courier closed the connection before its reply was complete"
+                )
             data += chunk
         return data
--- a/winchspan/control/command_call.py
+++ b/winchspan/control/command_call.py
@@ -1,4 +1,4 @@
-"""What the server of the control socket and its commands agree on."""
+"""The interface between the control socket's server and its commands."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from winchspan.control.protocol import JsonValue
 
-_CREDENTIALS: Final = Struct("3i")  # pid, uid and gid of a peer: Linux' SO_PEERCRED, unix(7)
+_CREDENTIALS: Final = Struct("3i")  # pid, uid and gid of a peer, as SO_PEERCRED returns them (unix(7))
 
 
 class PeerCredentials(NamedTuple):
-    """Who is at the other end of a connection, as the system knows it."""
+    """Process and user ID of a connection's peer, as reported by the kernel."""
 
     pid: int
     uid: int
@@ -23,7 +23,7 @@
 
 
 def peer_credentials(sock: socket.socket) -> PeerCredentials:
-    """Return who is at the other end of a Unix-domain socket."""
+    """Return the credentials of the process at the other end of a Unix-domain socket."""
     credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _CREDENTIALS.size)
     pid, uid, _ = _CREDENTIALS.unpack(credentials)
     return PeerCredentials(pid, uid)
@@ -33,8 +33,8 @@
     """The outcome of a command.
 
     Attributes:
-        data: what it returned; None if it failed.
-        error: why it failed, in one line; empty if it did not.
+        data: return value of the command; None if it failed.
+        error: cause of the failure, in one line; empty on success.
     """
 
     data: JsonValue = None
@@ -45,9 +45,9 @@
     """One execution of a command.
 
     Attributes:
-        arguments: as the client sent them, unchecked.
-        peer: who the client is.
-        respond: is called once with the result, now or later; what is called twice has no effect.
+        arguments: the command's arguments, not validated.
+        peer: credentials of the client.
+        respond: callback that sends the result, now or later; only its first call has an effect.
     """
 
     arguments: Mapping[str, JsonValue]
@@ -56,4 +56,4 @@
 
 
 Command: TypeAlias = Callable[[CommandCall], None]
-"""Executes a call; may raise `ControlError` instead of responding."""
+"""A function that executes a call; it may raise `ControlError` instead of responding."""
