--- a/winchspan/control/commands.py
+++ b/winchspan/control/commands.py
@@ -17,13 +17,13 @@
 from winchspan.dead_letters.store import DeadLetterStore
 from winchspan.runtime.clock import Clock
 
-_MAX_CLAIMED_NAME_CHARS: Final = 80  # of who a client says it is, in the audit log
+_MAX_CLAIMED_NAME_CHARS: Final = 80  # maximum length of the operator name given by a client, in the audit log
 
 T = TypeVar("T")
 
 
 class StoreWorker(Protocol):
-    """The dead letters' archiver, as far as it lends the thread of its store."""
+    """Interface of the dead letters' archiver to run functions on the thread of its store."""
 
     def run_on_store(
         self, operation: Callable[[DeadLetterStore], T], on_result: Callable[[T | None], None]
@@ -31,13 +31,14 @@
         """Run a function on the store's thread.
 
         Args:
-            operation: is given the store.
-            on_result: is given the function's result, on the event loop; None if the store is out of order.
+            operation: function to run, called with the store.
+            on_result: callback on the event loop, called with the function's result, or with None if the
+                store is unusable.
         """
 
 
 class StatusSource(Protocol):
-    """The courier, as far as it reports its state."""
+    """Interface of the courier to report its status."""
 
     def status(self) -> dict[str, Any]:
         """Return the status document."""
@@ -50,14 +51,14 @@
     context: RedeliveryPolicy | None = None,
     operations: Operations | None = None,
 ) -> dict[str, Command]:
-    """Return all commands of a courier by name; those of what is switched off are not there.
+    """Return all commands of a courier by name, without those of disabled features.
 
     Args:
-        courier: whose status is asked for.
-        worker: of the dead letters; None if they are switched off.
-        clock: the courier's.
-        context: what the courier knows beside the dead letters' store.
-        operations: the operators' operations.
+        courier: source of the status document.
+        worker: worker of the dead letters' store; None if dead letters are disabled.
+        clock: clock of the courier.
+        context: redelivery policy of the courier; None if there is none.
+        operations: the operators' operations; None if they are disabled.
     """
     commands: dict[str, Command] = {"status": partial(_report_status, courier)}
     if operations is not None:
@@ -82,21 +83,21 @@
 
 @dataclass(frozen=True, slots=True)
 class _DeadLetterQueries:
-    """Queries and actions on the store of dead letters, executed on its thread."""
+    """Queries and actions on the dead letters' store, executed on the store's thread."""
 
     worker: StoreWorker
     clock: Clock
     context: RedeliveryPolicy | None
 
     def execute(self, name: str, call: CommandCall) -> None:
-        """Check the arguments of a query and have it executed."""
+        """Validate the arguments of a query and schedule it on the store's thread."""
         try:
             checked = queries.parse_arguments(name, call.arguments)
         except OperatorActionError as err:
             call.respond(CommandResult(error=str(err)))
             return
         if isinstance(checked, ActionArguments | ImportArguments):
-            # Who the client says it is, and who the system says it is.
+            # The audit log records the name given by the client and the credentials reported by the kernel.
             checked.operator = f"{checked.operator[:_MAX_CLAIMED_NAME_CHARS]}, {call.peer}"
 
         def run(store: DeadLetterStore) -> CommandResult:
--- a/winchspan/control/connection.py
+++ b/winchspan/control/connection.py
@@ -1,4 +1,4 @@
-"""One connection to the control socket: a request at a time, and its reply."""
+"""The server's side of one connection to the control socket; executes one request at a time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from winchspan.control.command_call import CommandCall, CommandResult, PeerCredentials, peer_credentials
 from winchspan.control.protocol import (
-    FRAME_HEAD,
+    FRAME_HEADER,
     MAX_REQUEST_BYTES,
     ControlError,
     Reply,
@@ -20,30 +20,30 @@
 from winchspan.runtime.timers import Timer, TimerQueue
 
 STEP_TIMEOUT_MS: Final = 5_000.0
-"""For a request to be received completely, and for its reply to be made and read."""
+"""Maximum time to receive a complete request, and to execute it and have its reply read."""
 
 
 class ConnectionOwner(Protocol):
-    """The server, as one of its connections sees it."""
+    """Interface of the server to its connections."""
 
     timers: TimerQueue
 
     def admit(self, connection: ControlConnection, peer: PeerCredentials) -> bool:
-        """Return whether a connection may stay; if so, it is kept until it is removed."""
+        """Register a connection if it is permitted; return whether it is."""
 
     def remove(self, connection: ControlConnection) -> None:
-        """Forget a connection that is closed."""
+        """Unregister a closed connection."""
 
     def execute(self, name: str, call: CommandCall) -> None:
         """Execute a command."""
 
 
 class ControlConnection(asyncio.BufferedProtocol):
-    """One connection. Nothing is read while a request is executed, so that the buffer is bounded."""
+    """One connection. Reading is paused while a request is executed, which bounds the buffer."""
 
     def __init__(self, owner: ConnectionOwner) -> None:
         self._owner = owner
-        self._buffer = bytearray(FRAME_HEAD.size + MAX_REQUEST_BYTES)
+        self._buffer = bytearray(FRAME_HEADER.size + MAX_REQUEST_BYTES)
         self._received_bytes = 0
         self._executing: Request | None = None
         self._is_executing_pending = False
@@ -52,7 +52,7 @@
         self._timeout: Timer | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Find out who the client is, and close if it may not connect."""
+        """Read the client's credentials, and close the connection if it is not permitted."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._peer = peer_credentials(transport.get_extra_info("socket"))
@@ -62,30 +62,30 @@
             transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Release what the connection holds."""
+        """Unregister the connection and cancel its timeout."""
         self._owner.remove(self)
         if self._timeout is not None:
             self._timeout.cancel()
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return where the next bytes go."""
+        """Return the unused part of the receive buffer."""
         return memoryview(self._buffer)[self._received_bytes :]
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Execute the request once it is complete."""
+        """Execute the received requests that are complete."""
         self._received_bytes += nbytes
         self._execute_pending()
 
     def close(self) -> None:
-        """Close at once; may be called twice."""
+        """Close the connection at once; further calls have no effect."""
         if self._transport is not None:
             self._transport.abort()
 
     def _execute_pending(self) -> None:
-        """Execute the complete requests in the buffer, until the result of one is to be waited for.
+        """Execute the complete requests in the buffer, up to the first whose result is pending.
 
-        One after the other, not each by the result of the one before: hundreds that are sent at once would
-        exceed the depth of calls.
+        Executes them in a loop: recursion from each result to the next request exceeds Python's recursion
+        limit when a client sends hundreds of requests at once.
         """
         if self._is_executing_pending:
             return
@@ -97,10 +97,10 @@
             self._is_executing_pending = False
 
     def _execute_next(self) -> bool:
-        """Execute the first request in the buffer, if it is complete and none is being executed.
+        """Execute the first request in the buffer, if it is complete and no other is being executed.
 
         Returns:
-            Whether it has been executed and its result sent, so that the next one may follow.
+            Whether the request is finished and its result sent, so that the next request may be executed.
         """
         transport = self._transport
         if self._executing is not None or transport is None or transport.is_closing():
@@ -122,25 +122,25 @@
         return self._executing is None
 
     def _take_request(self) -> Request | None:
-        """Remove the first request from the buffer; return None if it is not complete.
+        """Remove the first request from the buffer and return it; None if it is not complete.
 
         Raises:
-            ControlError: if it cannot be read.
+            ControlError: if the frame is not a valid request.
         """
-        if self._received_bytes < FRAME_HEAD.size:
+        if self._received_bytes < FRAME_HEADER.size:
             return None
-        body_bytes = decode_length(memoryview(self._buffer)[: FRAME_HEAD.size], MAX_REQUEST_BYTES)
-        frame_end = FRAME_HEAD.size + body_bytes
+        body_bytes = decode_length(memoryview(self._buffer)[: FRAME_HEADER.size], MAX_REQUEST_BYTES)
+        frame_end = FRAME_HEADER.size + body_bytes
         if self._received_bytes < frame_end:
             return None
-        request = decode_request(bytes(self._buffer[FRAME_HEAD.size : frame_end]))
+        request = decode_request(bytes(self._buffer[FRAME_HEADER.size : frame_end]))
         rest = self._buffer[frame_end : self._received_bytes]
         self._buffer[: len(rest)] = rest
         self._received_bytes = len(rest)
         return request
 
     def _complete(self, request: Request, result: CommandResult) -> None:
-        """Send the result of a request, and go on to the next; a second result of one is ignored."""
+        """Send the result of a request and execute the next one; ignore a repeated result."""
         transport = self._transport
         if self._executing is not request or transport is None or transport.is_closing():
             return
@@ -157,7 +157,7 @@
             transport.write(encode_frame(Reply(reply.id, error=f"the answer is {err}")))
 
     def _restart_timeout(self) -> None:
-        """Guard against clients that hold a connection and ask for nothing, or never read."""
+        """Restart the timeout that closes connections of clients that send no request or read no reply."""
         if self._timeout is not None:
             self._timeout.cancel()
         self._timeout = self._owner.timers.call_later(STEP_TIMEOUT_MS, self.close)
--- a/winchspan/control/protocol.py
+++ b/winchspan/control/protocol.py
@@ -1,6 +1,6 @@
-"""Frames of the control socket: a length of four bytes, big-endian, and a JSON object of that many bytes.
+"""Frames of the control socket: a big-endian length of four bytes, then a JSON object of that many bytes.
 
-A client sends requests, one after another; each gets one reply with the same id, in order of the requests.
+Each request of a client gets one reply with the same ID, in the order of the requests.
 """
 
 from __future__ import annotations
@@ -12,31 +12,31 @@
 import msgspec
 
 JsonValue: TypeAlias = bool | int | float | str | Sequence["JsonValue"] | Mapping[str, "JsonValue"] | None
-"""What a JSON text can hold."""
+"""A value that JSON can represent."""
 
 PROTOCOL_VERSION: Final = 1
 
 MAX_REPLY_BYTES: Final = 1 << 20
 
 MAX_REQUEST_BYTES: Final = 1 << 16
-"""Smaller than a reply: a courier holds a buffer of this size for each connection."""
+"""Smaller than `MAX_REPLY_BYTES`, because a courier allocates a buffer of this size for each connection."""
 
-FRAME_HEAD: Final = Struct(">I")
-"""The length of the body in bytes."""
+FRAME_HEADER: Final = Struct(">I")
+"""Encoding of the length of the body in bytes."""
 
 
 class ControlError(Exception):
-    """A frame or a request that cannot be used; the message says why, in one line."""
+    """A frame is invalid, or a request or its connection failed; the message gives the cause in one line."""
 
 
 class Request(msgspec.Struct, forbid_unknown_fields=True):
-    """What a client asks for.
+    """A request of a client.
 
     Attributes:
-        version: of this protocol, as the client speaks it.
-        id: the client's number for the request.
-        command: the command's name.
-        args: the command's arguments.
+        version: version of the protocol that the client uses.
+        id: number of the request, chosen by the client.
+        command: name of the command.
+        args: arguments of the command.
     """
 
     version: int = msgspec.field(name="v")
@@ -46,13 +46,13 @@
 
 
 class Reply(msgspec.Struct):
-    """The outcome of a request.
+    """The result of a request.
 
     Attributes:
-        id: the request's; 0 if it could not be read.
-        data: what the command returned.
-        error: why there is no data, in one line; empty if there is.
-        version: of this protocol.
+        id: ID of the request; 0 if the request is invalid.
+        data: return value of the command.
+        error: cause of the failure, in one line; empty on success.
+        version: version of the protocol that the server uses.
     """
 
     id: int
@@ -65,32 +65,32 @@
     """Encode a message as a frame.
 
     Raises:
-        ControlError: if it is too large.
+        ControlError: if the message is too large.
     """
     body = msgspec.json.encode(message)
     max_bytes = MAX_REPLY_BYTES if isinstance(message, Reply) else MAX_REQUEST_BYTES
     if len(body) > max_bytes:
         raise ControlError(f"too large: {len(body)} bytes, and {max_bytes} at most")
-    return FRAME_HEAD.pack(len(body)) + body
+    return FRAME_HEADER.pack(len(body)) + body
 
 
 def decode_length(head: bytes | memoryview, max_bytes: int = MAX_REPLY_BYTES) -> int:
     """Return the length of a frame's body in bytes.
 
     Raises:
-        ControlError: if a body of that length is not read.
+        ControlError: if the length is 0 or exceeds `max_bytes`.
     """
-    (size,) = FRAME_HEAD.unpack(head)
+    (size,) = FRAME_HEADER.unpack(head)
     if not 0 < size <= max_bytes:
         raise ControlError(f"a frame of {size} bytes; 1 to {max_bytes} are read")
     return int(size)
 
 
 def decode_request(body: bytes) -> Request:
-    """Decode a frame's body.
+    """Decode the body of a request frame.
 
     Raises:
-        ControlError: if it is not a request of this version of the protocol.
+        ControlError: if the body is not a request of this version of the protocol.
     """
     try:
         request = msgspec.json.decode(body, type=Request)
@@ -102,10 +102,10 @@
 
 
 def decode_reply(body: bytes) -> Reply:
-    """Decode a frame's body.
+    """Decode the body of a reply frame.
 
     Raises:
-        ControlError: if it is not a reply.
+        ControlError: if the body is not a reply.
     """
     try:
         return msgspec.json.decode(body, type=Reply)
--- a/winchspan/control/server.py
+++ b/winchspan/control/server.py
@@ -1,4 +1,4 @@
-"""The courier's side of the control socket: who may connect, and which command a request names."""
+"""The control socket's server: checks the permission of clients and dispatches requests to commands."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from winchspan.runtime.timers import TimerQueue
 
 MAX_CONNECTIONS: Final = 8
-"""Open at once."""
+"""Maximum number of open connections."""
 
 _ROOT_UID: Final = 0
 _SOCKET_MODE: Final = 0o600
@@ -27,17 +27,17 @@
     """Listens on a socket file that only the courier's user and root may use.
 
     Attributes:
-        timers: the courier's.
-        rejected_count: connections of other users, or beyond the limit.
+        timers: timer queue of the courier.
+        rejected_count: number of connections rejected for their user or for the limit on connections.
     """
 
     def __init__(self, path: Path, commands: Mapping[str, Command], timers: TimerQueue) -> None:
-        """Make it, closed.
+        """Create a server that does not listen yet.
 
         Args:
-            path: of the socket file.
-            commands: by name.
-            timers: the courier's.
+            path: path of the socket file.
+            commands: commands by name.
+            timers: timer queue of the courier.
         """
         self.timers = timers
         self.rejected_count = 0
@@ -47,14 +47,14 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen. A socket file that a previous incarnation has left is replaced.
+        """Start to listen, replacing the socket file of a previous process.
 
         Raises:
-            OSError: if the path cannot be bound, for instance since another file is there.
+            OSError: if the path cannot be bound, for example because it is a regular file.
         """
         if self._path.is_socket():
             self._path.unlink()
-        previous_umask = os.umask(_SOCKET_UMASK)  # never readable by others, not even for a moment
+        previous_umask = os.umask(_SOCKET_UMASK)  # other users have no access even before chmod
         try:
             loop = asyncio.get_running_loop()
             self._server = await loop.create_unix_server(
@@ -65,7 +65,7 @@
         os.chmod(self._path, _SOCKET_MODE)
 
     def admit(self, connection: ControlConnection, peer: PeerCredentials) -> bool:
-        """Return whether a connection may stay; if so, it is kept until it is removed."""
+        """Register a connection if its user and the limit permit it; return whether they do."""
         if peer.uid not in (_ROOT_UID, os.geteuid()) or len(self._connections) >= MAX_CONNECTIONS:
             self.rejected_count += 1
             logger.bind(event="control_refused").warning("control: refused {}", peer)
@@ -74,11 +74,11 @@
         return True
 
     def remove(self, connection: ControlConnection) -> None:
-        """Forget a connection that is closed."""
+        """Unregister a closed connection."""
         self._connections.discard(connection)
 
     def execute(self, name: str, call: CommandCall) -> None:
-        """Execute a command; an unexpected error is a result, too."""
+        """Execute a command; an unexpected exception is reported to the client as an internal error."""
         command = self._commands.get(name)
         if command is None:
             names = ", ".join(sorted(self._commands))
@@ -88,12 +88,12 @@
             command(call)
         except ControlError as err:
             call.respond(CommandResult(error=str(err)))
-        except Exception:  # a fault of ours must not end the connection without a reply
+        except Exception:  # the client needs a reply to a command that fails unexpectedly
             logger.exception("control: {} failed", name)
             call.respond(CommandResult(error="internal error"))
 
     def close(self) -> None:
-        """Stop listening, and close all connections; may be called twice."""
+        """Stop listening and close all connections; further calls have no effect."""
         if self._server is not None:
             self._server.close()
             self._server = None
--- a/winchspan/emulator/__init__.py
+++ b/winchspan/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Keeps `python -m winchspan.emulator`, the name under which users know the emulator."""
+"""Alias of `winchspan.simulation`, so that `python -m winchspan.emulator` continues to work."""
--- a/winchspan/emulator/__main__.py
+++ b/winchspan/emulator/__main__.py
@@ -1,4 +1,4 @@
-"""Runs `winchspan.simulation`."""
+"""`python -m winchspan.emulator`: runs `python -m winchspan.simulation`."""
 
 import runpy
 
--- a/winchspan/experiments/__main__.py
+++ b/winchspan/experiments/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m winchspan.experiments`: runs and compares experiments, writes reports, searches for faults."""
+"""Command line of the experiment tool: runs and compares experiments, writes reports, searches for faults."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from winchspan.experiments.experiment import Experiment
 from winchspan.experiments.experiment_file import format_point, load_experiment
 from winchspan.experiments.fault_search import TrialResult, search_faults
-from winchspan.experiments.report import describe_breaches, write_report
+from winchspan.experiments.report import describe_violations, write_report
 from winchspan.experiments.results import ResultsError, ResultStore, Table
 from winchspan.experiments.shrinking import rule_name, shrink
 
@@ -26,13 +26,13 @@
 
 
 def exit_with_error(error: object) -> NoReturn:
-    """End with an error's message on standard error and exit code 2."""
+    """Print an error on standard error and exit with code 2."""
     click.echo(f"winchspan: {error}", err=True)
     sys.exit(EXIT_USAGE)
 
 
 def read_experiment(path: Path) -> Experiment:
-    """Read an experiment file; end if it is invalid."""
+    """Read an experiment file; exit with code 2 if it is invalid."""
     try:
         return load_experiment(path)
     except OperatorError as err:
@@ -41,15 +41,20 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
-    """Experiments in virtual time. Exit codes: 0 done, 1 a rule was broken, 2 wrong words or files."""
+    """Run experiments in virtual time.
+
+    Exit codes: 0 success, 1 a rule was broken, 2 invalid arguments or files.
+    """
 
 
 @main.command("run")
 @click.argument("path", metavar="FILE", type=EXPERIMENT_FILE)
 @click.argument("directory", metavar="FOLDER", type=DIRECTORY)
-@click.option("--workers", "worker_count", type=WORKER_COUNT, help="processes; default: as many as cores")
+@click.option(
+    "--workers", "worker_count", type=WORKER_COUNT, help="number of processes; default: one for each core"
+)
 def run_command(path: Path, directory: Path, worker_count: int | None) -> None:
-    """Play the runs of FILE that FOLDER does not hold yet, and write the tables there.
+    """Execute the runs of FILE that are not stored in FOLDER yet, and write the tables there.
 
     Example: python -m winchspan.lab run examples/lab/storms.sexp results
     """
@@ -57,11 +62,11 @@
     store = ResultStore(directory)
     try:
         with click.progressbar(length=len(experiment.points), label=experiment.name, file=sys.stderr) as bar:
-            played_count = store.play_missing(experiment, worker_count, bar.update)
+            new_run_count = store.run_missing(experiment, worker_count, bar.update)
         runs = store.table(Table.RUN)
     except ResultsError as err:
         exit_with_error(err)
-    click.echo(f"{len(runs)} runs, {played_count} of them new; {describe_breaches(runs)}")
+    click.echo(f"{len(runs)} runs, {new_run_count} of them new; {describe_violations(runs)}")
     sys.exit(EXIT_RULE_BROKEN if runs["breaches"].sum() else 0)
 
 
@@ -73,13 +78,13 @@
     "--other",
     "candidate_directory",
     type=DIRECTORY,
-    help="the folder of B, if it is another; variants are named there",
+    help="folder that holds the runs of B; default: FOLDER",
 )
-@click.option("--measure", default="worth", show_default=True, help="a column of the table of runs")
+@click.option("--measure", default="worth", show_default=True, help="column of the table of runs")
 def compare_command(
     directory: Path, baseline: str, candidate: str, candidate_directory: Path | None, measure: str
 ) -> None:
-    """Compare variant B with A of FOLDER, paired by load, couriers and seed.
+    """Compare variant B with variant A of FOLDER; runs are paired by load, couriers and seed.
 
     Example: python -m winchspan.experiments compare results off on --measure worth
     """
@@ -98,14 +103,14 @@
 
 
 def _runs_of_variant(runs: pl.DataFrame, variant: str, measure: str) -> pl.DataFrame:
-    """Return a variant's runs; end if there is no such variant or measure."""
+    """Return a variant's runs; exit with code 2 if the variant or the measure is unknown."""
     if measure not in runs.columns or not runs[measure].dtype.is_numeric():
-        known = ", ".join(runs.columns)
-        exit_with_error(f"--measure: no column {measure!r} of numbers; there are {known}")
+        columns = ", ".join(runs.columns)
+        exit_with_error(f"--measure: no numeric column {measure!r}; the columns are {columns}")
     selected = runs.filter(pl.col("variant") == variant)
     if not len(selected):
-        known = ", ".join(sorted(set(runs["variant"])))
-        exit_with_error(f"no variant {variant!r}; there are {known}")
+        variants = ", ".join(sorted(set(runs["variant"])))
+        exit_with_error(f"no variant {variant!r}; there are {variants}")
     return selected
 
 
@@ -122,7 +127,7 @@
 @main.command("report")
 @click.argument("directory", metavar="FOLDER", type=DIRECTORY)
 def report_command(directory: Path) -> None:
-    """Draw FOLDER's pictures, and a page with them."""
+    """Draw the charts of the runs in FOLDER, and write a page that shows them."""
     try:
         click.echo(write_report(ResultStore(directory)))
     except (ResultsError, OSError) as err:
@@ -137,39 +142,44 @@
     type=click.IntRange(1, 10_000_000),
     default=200,
     show_default=True,
-    help="to play",
+    help="number of trials",
 )
-@click.option("--seed", type=int, default=1, show_default=True, help="of the days")
-@click.option("--workers", "worker_count", type=WORKER_COUNT, help="processes; default: as many as cores")
+@click.option("--seed", type=int, default=1, show_default=True, help="seed of the trials")
 @click.option(
-    "--keep", "output_directory", type=DIRECTORY, help="existing folder for the shrunk days, as experiments"
+    "--workers", "worker_count", type=WORKER_COUNT, help="number of processes; default: one for each core"
+)
+@click.option(
+    "--keep",
+    "output_directory",
+    type=DIRECTORY,
+    help="existing folder for shrunk failures, as experiment files",
 )
-def hunt_command(
+def fault_search_command(
     path: Path, trial_count: int, seed: int, worker_count: int | None, output_directory: Path | None
 ) -> None:
-    """Look for days that break a rule: the first point of FILE, with other seeds and random troubles.
+    """Search for runs that break a rule: the first point of FILE with other seeds and random faults.
 
     Example: python -m winchspan.lab hunt examples/lab/hunt.sexp --days 1000 --keep tests/regressions
     """
     base = read_experiment(path).points[0]
-    with click.progressbar(length=trial_count, label="days", file=sys.stderr) as bar:
+    with click.progressbar(length=trial_count, label="trials", file=sys.stderr) as bar:
         results = search_faults(base, seed, trial_count, worker_count, lambda result: bar.update(1))
-    failures = [result for result in results if result.is_failure]  # of the results that were kept
+    failures = [result for result in results if result.is_failure]  # at most `MAX_RESULTS`
     worst = min(results, key=lambda result: result.weight_share)
     click.echo(
-        f"{trial_count} days, {len(failures)} bad; "
-        f"the least worth is {worst.weight_share:.3f}, with seed {worst.point.seed}"
+        f"{trial_count} trials, {len(failures)} failures; "
+        f"the lowest share of the offered weight is {worst.weight_share:.3f}, with seed {worst.point.seed}"
     )
     for rule in sorted({rule_name(failure.broken_rules[0]) for failure in failures}):
-        failure = next(found for found in failures if found.broken_rules[0].startswith(rule))
+        failure = next(result for result in failures if result.broken_rules[0].startswith(rule))
         _report_shrunk(shrink(failure), rule, seed, output_directory)
     sys.exit(EXIT_RULE_BROKEN if failures else 0)
 
 
 def _report_shrunk(failure: TrialResult, rule: str, seed: int, output_directory: Path | None) -> None:
-    """Print a shrunk failure as an experiment file, or write it into a directory."""
+    """Write a shrunk failure as an experiment file; print it if there is no output directory."""
     broken = ", ".join(failure.broken_rules)
-    text = format_point(failure.point, f"Found by a hunt (seed {seed}) and shrunk: breaks {broken}.")
+    text = format_point(failure.point, f"Found by a fault search (seed {seed}) and shrunk: breaks {broken}.")
     if output_directory is None:
         click.echo(text)
         return
--- a/winchspan/experiments/charts.py
+++ b/winchspan/experiments/charts.py
@@ -16,21 +16,21 @@
 
 matplotlib.use("Agg")  # draws files without a display
 
-DESTINATION: Final = 7  # of the partner that fails
+DESTINATION: Final = 7  # number of the destination whose partner fails
 SIZE_INCHES: Final = (9.0, 4.2)
 DOTS_PER_INCH: Final = 110
 COLOURS: Final = ("#1b6ca8", "#d1495b", "#3c8d5a", "#8a5a9e", "#c98a1b", "#5b5b5b")
 
 
 class Chart(NamedTuple):
-    """A chart that has been drawn."""
+    """A chart that is stored as an image file."""
 
     file_name: str
     caption: str
 
 
 class _VariantRows(NamedTuple):
-    """The rows of one variant, and the colour that stands for it."""
+    """The rows of one variant, and the colour of its line."""
 
     variant: str
     colour: str
@@ -43,15 +43,17 @@
 
 
 def draw_service(windows: pl.DataFrame, load: float, path: Path) -> Chart:
-    """Draw the share of the offered weight that was obtained over time: mean and range of the seeds.
+    """Draw the obtained share of the offered weight over time: mean and range over the seeds.
 
     Args:
         windows: the table of windows.
-        load: whose runs are drawn.
-        path: of the picture.
+        load: the load of the runs that are drawn.
+        path: path of the image file.
     """
     figure, axes = _new_chart(
-        f"Service over time at destination {DESTINATION}, load {load:g}", "seconds", "worth got / asked for"
+        f"Service over time at destination {DESTINATION}, load {load:g}",
+        "seconds",
+        "obtained / offered weight",
     )
     selected = windows.filter(
         (pl.col("destination") == DESTINATION) & (pl.col("load") == load) & (pl.col("asked") > 0)
@@ -71,26 +73,26 @@
 
 
 def draw_calls(windows: pl.DataFrame, load: float, path: Path) -> Chart:
-    """Draw the calls a second that the partner received over time.
+    """Draw the rate of calls that the partner received over time.
 
     Args:
         windows: the table of windows.
-        load: whose runs are drawn.
-        path: of the picture.
+        load: the load of the runs that are drawn.
+        path: path of the image file.
     """
     figure, axes = _new_chart(
-        f"Calls at destination {DESTINATION}, load {load:g}", "seconds", "calls a second"
+        f"Calls at destination {DESTINATION}, load {load:g}", "seconds", "calls per second"
     )
     selected = windows.filter((pl.col("destination") == DESTINATION) & (pl.col("load") == load))
     for variant, colour, rows in _by_variant(selected):
         by_time = rows.group_by("at").agg(pl.col("calls").mean()).sort("at")
         seconds = _window_middles(by_time["at"])
         axes.plot(seconds, by_time["calls"], color=colour, marker="o", label=variant)
-    listed_rate = float(selected["listed"].max())  # type: ignore[arg-type]  # a column of numbers
+    listed_rate = float(selected["listed"].max())  # type: ignore[arg-type]  # a numeric column
     axes.axhline(listed_rate, color="#555", linestyle="--", linewidth=1, label="listed")
     axes.set_ylim(bottom=0.0)
     axes.legend(frameon=False)
-    return _save(figure, path, f"Calls seen, load {load:g}")
+    return _save(figure, path, f"Calls received, load {load:g}")
 
 
 def draw_lost_weight(causes: pl.DataFrame, path: Path) -> Chart:
@@ -98,9 +100,9 @@
 
     Args:
         causes: the table of causes.
-        path: of the picture.
+        path: path of the image file.
     """
-    figure, axes = _new_chart("Worth lost by cause, in the mean of a run", "worth", "")
+    figure, axes = _new_chart("Lost weight by cause, mean of a run", "weight", "")
     means = _mean_lost_weight(causes)
     bars = [
         _Bar(variant, load)
@@ -116,7 +118,7 @@
         axes.barh(names, weights, left=bar_ends, color=colour, label=cause)
         bar_ends = [end + weight for end, weight in zip(bar_ends, weights, strict=True)]
     axes.legend(frameon=False, fontsize=9, loc="upper center", bbox_to_anchor=(0.5, -0.16), ncols=3)
-    return _save(figure, path, "Where the worth went")
+    return _save(figure, path, "Lost weight by cause")
 
 
 def draw_latency(latencies: pl.DataFrame, path: Path) -> Chart:
@@ -124,7 +126,7 @@
 
     Args:
         latencies: the table of latencies.
-        path: of the picture.
+        path: path of the image file.
     """
     figure, axes = _new_chart(f"Time to delivery at destination {DESTINATION}", "quantile, %", "ms")
     for variant, colour, rows in _by_variant(latencies.filter(pl.col("destination") == DESTINATION)):
@@ -164,7 +166,7 @@
 
 
 def _window_middles(starts_ms: Iterable[float]) -> list[float]:
-    """Return the middles of windows in seconds."""
+    """Return the midpoints of windows, in seconds, from their starts."""
     return [start_ms / 1_000.0 + WINDOW_MS / 2_000.0 for start_ms in starts_ms]
 
 
--- a/winchspan/experiments/comparison.py
+++ b/winchspan/experiments/comparison.py
@@ -9,8 +9,8 @@
 import numpy.typing as npt
 import polars as pl
 
-PAIR_COLUMNS: Final = ("load", "couriers", "seed")  # that the two runs of a pair have in common
-RESAMPLE_COUNT: Final = 10_000  # of the bootstrap
+PAIR_COLUMNS: Final = ("load", "couriers", "seed")  # equal in both runs of a pair
+RESAMPLE_COUNT: Final = 10_000  # resamples of a bootstrap
 CONFIDENCE_LEVEL: Final = 0.95
 
 
@@ -23,16 +23,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """How a candidate differs from a baseline at one load and number of couriers.
+    """The difference of a candidate from a baseline at one load and number of couriers.
 
     Attributes:
-        load: of the runs.
-        courier_count: of the runs.
-        pair_count: how many pairs of runs there are.
-        baseline_mean: over the seeds.
-        candidate_mean: over the seeds.
-        mean_difference: candidate less baseline.
-        interval: of the mean difference.
+        load: offered load of the runs.
+        courier_count: number of couriers in each run.
+        pair_count: number of pairs of runs.
+        baseline_mean: mean of the baseline over the seeds.
+        candidate_mean: mean of the candidate over the seeds.
+        mean_difference: mean of candidate minus baseline.
+        interval: confidence interval of the mean difference.
     """
 
     load: float
@@ -50,11 +50,11 @@
 
 
 def bootstrap_interval(differences: npt.NDArray[np.float64], seed: int = 0) -> ConfidenceInterval:
-    """Return the percentile bootstrap's interval of a mean (Efron and Tibshirani 1993, chapter 13).
+    """Return the percentile bootstrap interval of a mean (Efron and Tibshirani 1993, chapter 13).
 
     Args:
-        differences: shape (pairs,).
-        seed: of the resamples, so that the same values give the same interval.
+        differences: one difference for each pair; shape (pairs,).
+        seed: seed of the resampling; the same values and seed give the same interval.
     """
     rng = np.random.default_rng(seed)
     resamples = rng.integers(0, len(differences), (RESAMPLE_COUNT, len(differences)))
@@ -65,12 +65,12 @@
 
 
 def compare(baseline: pl.DataFrame, candidate: pl.DataFrame, measure: str) -> list[Difference]:
-    """Pair the runs of two tables by load, couriers and seed; runs without a partner are left out.
+    """Compare the runs of two tables, paired by load, couriers and seed; ignore unpaired runs.
 
     Args:
-        baseline: its table of runs.
-        candidate: its table of runs.
-        measure: the column of both that is compared.
+        baseline: table of the baseline's runs.
+        candidate: table of the candidate's runs.
+        measure: name of the column that is compared.
     """
     pairs = (
         _measure_column(baseline, measure, "baseline")
--- a/winchspan/experiments/experiment.py
+++ b/winchspan/experiments/experiment.py
@@ -1,4 +1,4 @@
-"""What a run depends on, and the address under which its result is stored."""
+"""The inputs of a run, and the address under which its result is stored."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from winchspan.simulation.environment import Environment
 
 MS_PER_SECOND: Final = 1_000.0
-ADDRESS_DIGITS: Final = 32  # hexadecimal digits: 128 bits of the hash
+ADDRESS_DIGITS: Final = 32  # hexadecimal digits, 128 bits of the hash
 PACKAGE_DIRECTORY: Final = Path(__file__).parent.parent
 
 
 @dataclass(frozen=True, slots=True)
 class Point:
-    """One point of a sweep: all that its run depends on but the code.
+    """One point of a sweep: all inputs of a run except the code.
 
     Attributes:
-        variant: the name of the variant.
-        operator_text: the text of the variant's operator's file; empty: everything is off.
-        load: the offered load as a multiple of the rate that the partner lists.
-        courier_count: couriers that share the load.
-        seed: of the random source.
-        duration_seconds: for which clients submit messages.
-        partner: the partner that fails.
-        environment: the network, and the faults that are injected.
+        variant: name of the variant.
+        operator_text: content of the variant's operator file; empty: all optional features are off.
+        load: offered load as a multiple of the rate that the partner lists.
+        courier_count: number of couriers that share the load.
+        seed: seed of the run's random number generator.
+        duration_seconds: time during which clients submit messages.
+        partner: behaviour of the partner that fails.
+        environment: the network and the injected faults.
     """
 
     variant: str
@@ -43,12 +43,12 @@
     environment: Environment
 
     def scenario(self) -> Scenario:
-        """Return the scenario that the emulator plays."""
+        """Return the scenario that the emulator runs."""
         return storm_scenario(
             self.load,
             self.courier_count,
             partner=self.partner,
-            lasts=self.duration_seconds * MS_PER_SECOND,
+            duration_ms=self.duration_seconds * MS_PER_SECOND,
         )
 
     def address(self, code_hash: str) -> str:
@@ -57,7 +57,7 @@
         return sha256(code_hash.encode() + document).hexdigest()[:ADDRESS_DIGITS]
 
     def _address_fields(self) -> dict[str, object]:
-        """Return the fields under the names and in the order that stored addresses were made with."""
+        """Return the hashed fields; stored addresses depend on their names and order."""
         return {
             "variant": self.variant,
             "operator": self.operator_text,
@@ -72,11 +72,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
-    """An experiment file that has been read.
+    """A parsed experiment file.
 
     Attributes:
-        name: of the file, without its directory and suffix.
-        text: of the file.
+        name: name of the file, without its directory and suffix.
+        text: content of the file.
         points: all points of the sweep.
     """
 
@@ -86,7 +86,7 @@
 
 
 def hash_code() -> str:
-    """Return a hash of all code that a run executes: the package without the experiment tool itself."""
+    """Return a hash of the code that a run executes: the package except the experiment tool."""
     digest = sha256()
     for path in sorted(PACKAGE_DIRECTORY.rglob("*.py")):
         if path.parent != Path(__file__).parent:
--- a/winchspan/experiments/experiment_file.py
+++ b/winchspan/experiments/experiment_file.py
@@ -1,7 +1,7 @@
-"""Reads and writes experiment files: one scenario, what is swept, and the variants that are compared.
+"""Reads and writes experiment files: one scenario, the swept parameters, and the compared variants.
 
-A file consists of S-expressions and is validated like the operator's: an error names file, line, column and
-key.
+A file consists of S-expressions and is validated like the operator's file: an error names the file, line,
+column and key.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
     PartnerValues,
     to_experiment_values,
 )
-from winchspan.fakes.partner import Mode, Outage, PartnerSettings
+from winchspan.fakes.partner import Outage, OutageMode, PartnerSettings
 from winchspan.simulation.environment import NETWORK_FAULTS, Environment, FaultKind, InjectedFault
 from winchspan.simulation.link import LinkProfile
 
-DEFAULT_VARIANT = "plain"  # of a file without variants; everything is off
+DEFAULT_VARIANT = "plain"  # variant of a file that defines none; all optional features are off
 
 
 def load_experiment(path: Path) -> Experiment:
     """Read an experiment file.
 
     Raises:
-        OperatorError: if the file cannot be read or is invalid; names file, line, column and key.
+        OperatorError: if the file cannot be read or is invalid; the message names file, line, column and key.
     """
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as err:
-        raise OperatorError(f"{path}: cannot read it: {err}") from None
+        raise OperatorError(f"{path}: cannot be read: {err}") from None
     return parse_experiment(text, str(path), path.parent)
 
 
@@ -45,12 +45,12 @@
     """Parse the text of an experiment file.
 
     Args:
-        text: of the file.
-        name: what errors call the file.
-        directory: to which the names of operators' files are relative.
+        text: content of the file.
+        name: name of the file in errors.
+        directory: base directory of the relative paths of operator files.
 
     Raises:
-        OperatorError: if the text or an operator's file is invalid.
+        OperatorError: if the text is invalid or an operator file cannot be read.
     """
     sections = validate_sections(read_nodes(text, name), SECTIONS, name)
     values = to_experiment_values(sections)
@@ -59,14 +59,14 @@
 
 
 def _check_values(values: ExperimentValues, name: str) -> None:
-    """Check what the schema cannot express."""
+    """Check the rules that the schema cannot express."""
     for key, numbers in (("loads", values.sweep.loads), ("couriers", values.sweep.courier_counts)):
         if not numbers:
             raise OperatorError(f"{name}: experiment.{key}: expected at least one number")
     couriers = {f"n{number}" for number in range(min(values.sweep.courier_counts))}
     for title, fault in values.faults.items():
         if fault.kind is FaultKind.PARTITION and not fault.target:
-            raise OperatorError(f"{name}: trouble.target of {title!r}: a cut goes from one place to another")
+            raise OperatorError(f"{name}: trouble.target of {title!r}: a cut needs a target")
         if fault.kind not in NETWORK_FAULTS and fault.source not in couriers:
             raise OperatorError(f"{name}: trouble.source of {title!r}: there is no courier {fault.source!r}")
 
@@ -75,7 +75,7 @@
     sweep = values.sweep
     environment = Environment(
         LinkProfile(sweep.latency_ms, sweep.jitter_ms),
-        is_fragmenting=sweep.is_torn,
+        is_fragmenting=sweep.is_fragmenting,
         faults=tuple(_emulated_fault(fault) for fault in values.faults.values()),
     )
     partner = _partner_settings(values.partner, name)
@@ -138,16 +138,16 @@
     if not values.outage_seconds or values.outage_mode == NO_OUTAGE:
         return ()
     begin_seconds, end_seconds = values.outage_seconds
-    mode = Mode(values.outage_mode)
+    mode = OutageMode(values.outage_mode)
     return (Outage(begin_seconds * MS_PER_SECOND, end_seconds * MS_PER_SECOND, mode),)
 
 
 def format_point(point: Point, note: str = "") -> str:
-    """Return a point as an experiment file of its own, without variants.
+    """Return a point as an experiment file without variants.
 
     Args:
-        point: the point.
-        note: a comment at the beginning of the file.
+        point: the point to write.
+        note: comment at the beginning of the file.
     """
     lines = [f"; {line}" for line in note.splitlines()]
     lines += _format_sweep(point)
@@ -162,12 +162,12 @@
 
 def _format_sweep(point: Point) -> list[str]:
     link = point.environment.default_link
-    torn = _format_flag(point.environment.is_fragmenting)
+    fragmenting = _format_flag(point.environment.is_fragmenting)
     return [
         "(experiment",
         f"  (seconds {point.duration_seconds!r}) (loads {point.load!r}) (couriers {point.courier_count})",
         f"  (seeds 1) (first-seed {point.seed})",
-        f"  (latency {link.latency_ms!r}) (jitter {link.mean_jitter_ms!r}) (torn {torn}))",
+        f"  (latency {link.latency_ms!r}) (jitter {link.mean_jitter_ms!r}) (torn {fragmenting}))",
     ]
 
 
--- a/winchspan/experiments/experiment_schema.py
+++ b/winchspan/experiments/experiment_schema.py
@@ -8,58 +8,58 @@
 import msgspec
 
 from winchspan.config.operator.schema import Key, Section
-from winchspan.fakes.partner import Mode
+from winchspan.fakes.partner import OutageMode
 from winchspan.simulation.environment import FaultKind
 
-NO_OUTAGE: Final = "none"  # the value of `mode` under which the partner has no outage
-OUTAGE_MODES: Final = (*(mode.value for mode in Mode), NO_OUTAGE)
+NO_OUTAGE: Final = "none"  # value of `mode`: the partner has no outage
+OUTAGE_MODES: Final = (*(mode.value for mode in OutageMode), NO_OUTAGE)
 
 EXPERIMENT: Final = Section(
     "experiment",
-    "What is played, and what is swept.",
+    "The duration, the network and the swept parameters.",
     (
-        Key("seconds", float, 60.0, "for which clients hand messages in", "s", 1, 86_400),
-        Key("loads", tuple, (0.9,), "of the rate that the partner lists", "", 0.01, 10),
-        Key("couriers", tuple, (3,), "daemons that share the traffic", "", 1, 100, item_type=int),
-        Key("seeds", int, 5, "runs of each point", "", 1, 100_000),
-        Key("first-seed", int, 1, "the first of them", "", 0, 2**31),
-        Key("latency", float, 0.2, "of every way", "ms", 0, 10_000),
-        Key("jitter", float, 0.0, "mean of an exponential delay beside it", "ms", 0, 10_000),
-        Key("torn", bool, False, "whether reads and writes break at random boundaries"),
+        Key("seconds", float, 60.0, "time during which clients submit messages", "s", 1, 86_400),
+        Key("loads", tuple, (0.9,), "offered loads, in multiples of the listed rate", "", 0.01, 10),
+        Key("couriers", tuple, (3,), "numbers of couriers that share the traffic", "", 1, 100, item_type=int),
+        Key("seeds", int, 5, "number of runs of each point", "", 1, 100_000),
+        Key("first-seed", int, 1, "seed of the first run", "", 0, 2**31),
+        Key("latency", float, 0.2, "latency of each link", "ms", 0, 10_000),
+        Key("jitter", float, 0.0, "mean of an exponential delay added to the latency", "ms", 0, 10_000),
+        Key("torn", bool, False, "whether reads and writes are split at random boundaries"),
     ),
 )
 PARTNER: Final = Section(
     "partner",
-    "The partner that has the trouble.",
+    "The partner that fails.",
     (
-        Key("listed", float, 20.0, "the rate that it lists", "calls a second", 0.1, 10_000),
-        Key("actual", float, 0.0, "the rate that it takes; 0: as listed", "calls a second", 0, 10_000),
-        Key("capacity", float, 24.0, "what it can do when warm", "calls a second", 0.1, 10_000),
-        Key("service", float, 0.2, "time of a call when warm", "s", 0.001, 60),
-        Key("queue", int, 24, "calls that wait for a worker", "", 0, 100_000),
-        Key("outage", tuple, (), "begin and end of its outage; none: it has none", "s", 0, 86_400),
-        Key("mode", str, "silent", "what it does meanwhile", choices=OUTAGE_MODES),
-        Key("cold", float, 14.0, "until it is warm", "s", 0.001, 3_600),
-        Key("start", float, 1 / 3, "of its capacity on return", "", 0.01, 1),
-        Key("fall", float, 2.0, "times what it can do that tips it over", "", 1, 100),
-        Key("tells-wait", bool, False, "whether a refusal names a wait"),
+        Key("listed", float, 20.0, "rate that it lists", "calls a second", 0.1, 10_000),
+        Key("actual", float, 0.0, "rate that it accepts; 0: the listed rate", "calls a second", 0, 10_000),
+        Key("capacity", float, 24.0, "throughput when warm", "calls a second", 0.1, 10_000),
+        Key("service", float, 0.2, "duration of a call when warm", "s", 0.001, 60),
+        Key("queue", int, 24, "maximum number of calls that wait for a worker", "", 0, 100_000),
+        Key("outage", tuple, (), "start and end of its outage; empty: no outage", "s", 0, 86_400),
+        Key("mode", str, "silent", "behaviour during the outage", choices=OUTAGE_MODES),
+        Key("cold", float, 14.0, "duration of the slow start after the outage", "s", 0.001, 3_600),
+        Key("start", float, 1 / 3, "share of the capacity at the start of the slow start", "", 0.01, 1),
+        Key("fall", float, 2.0, "load in multiples of the present capacity at collapse", "", 1, 100),
+        Key("tells-wait", bool, False, "whether a 429 response states a wait"),
     ),
 )
 VARIANT: Final = Section(
     "variant",
-    "One of the things compared; without any there is one, `plain`.",
-    (Key("operator", str, "", "the couriers' operator's file, relative to this one; none: everything off"),),
+    "A variant to compare; a file without variants has one, `plain`.",
+    (Key("operator", str, "", "operator file of the couriers, relative to this file; none: all off"),),
     is_repeatable=True,
 )
 FAULT: Final = Section(
     "trouble",
-    "Something that goes wrong.",
+    "A fault that is injected.",
     (
-        Key("what", str, "reset", "what", choices=tuple(FaultKind)),
-        Key("source", str, "n0", "a place: n0, n1, ..., partner 7, partner 8, outside"),
-        Key("target", str, "", "where `cut` and `reset` go to"),
-        Key("at", float, 0.0, "when", "s", 0, 86_400),
-        Key("lasts", float, 0.0, "for how long, or by how much `step` steps", "s", -86_400, 86_400),
+        Key("what", str, "reset", "kind of fault", choices=tuple(FaultKind)),
+        Key("source", str, "n0", "node: n0, n1, ..., partner 7, partner 8, outside"),
+        Key("target", str, "", "other node of `cut` and `reset`"),
+        Key("at", float, 0.0, "start time", "s", 0, 86_400),
+        Key("lasts", float, 0.0, "duration, or the change of the clock by `step`", "s", -86_400, 86_400),
     ),
     is_repeatable=True,
 )
@@ -76,7 +76,7 @@
     first_seed: int = msgspec.field(name="first-seed")
     latency_ms: float = msgspec.field(name="latency")
     jitter_ms: float = msgspec.field(name="jitter")
-    is_torn: bool = msgspec.field(name="torn")
+    is_fragmenting: bool = msgspec.field(name="torn")
 
 
 class PartnerValues(msgspec.Struct, frozen=True):
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExperimentValues:
-    """The values of a file; repeatable sections by their names."""
+    """The values of an experiment file; `variants` and `faults` by the names of their sections."""
 
     sweep: SweepValues
     partner: PartnerValues
--- a/winchspan/experiments/fault_search.py
+++ b/winchspan/experiments/fault_search.py
@@ -1,4 +1,4 @@
-"""Searches for faults: plays a point with random seeds and injected faults, and collects failures."""
+"""Fault search: runs a point with random seeds and injected faults, and collects failures."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 import numpy as np
 
 from winchspan.experiments.experiment import MS_PER_SECOND, Point
-from winchspan.experiments.runner import play
+from winchspan.experiments.runner import run_point
 from winchspan.simulation.environment import Environment, FaultKind, InjectedFault
 from winchspan.simulation.link import LinkProfile
 
-MAX_FAULTS: Final = 6  # of a trial
-BATCH_SIZE: Final = 512  # trials that the workers are given together
-MAX_RESULTS: Final = 200  # of a search, the worst ones
-MAX_CRASH_LENGTH: Final = 200  # characters of a crash's description
+MAX_FAULTS: Final = 6  # injected in one trial
+BATCH_SIZE: Final = 512  # trials that are submitted to the workers at once
+MAX_RESULTS: Final = 200  # results that a search retains, the worst ones
+MAX_CRASH_LENGTH: Final = 200  # characters of the description of a crash
 FAULT_KINDS: Final = (
     FaultKind.PARTITION,
     FaultKind.POWER_LOSS,
@@ -33,27 +33,27 @@
     FaultKind.UPGRADE,
 )
 INSTANT_KINDS: Final = (FaultKind.RELOAD, FaultKind.UPGRADE)  # faults without a duration
-PARTNER_PLACES: Final = ("partner 7", "partner 8")
-REMOTE_PLACES: Final = (*PARTNER_PLACES, "outside")
+PARTNER_NODES: Final = ("partner 7", "partner 8")
+REMOTE_NODES: Final = (*PARTNER_NODES, "outside")
 MEAN_DURATION_SECONDS: Final = 1.5
-MIN_DURATION_MS: Final = 300.0  # of what has a least duration
-CLOCK_STEP_DEVIATION_SECONDS: Final = 600.0
+MIN_DURATION_MS: Final = 300.0  # added to the random durations of faults other than partitions
+CLOCK_STEP_STANDARD_DEVIATION_SECONDS: Final = 600.0
 LATENCIES_MS: Final = (0.2, 1.0, 5.0)
 JITTERS_MS: Final = (0.0, 0.5, 5.0)
-TORN_PROBABILITY: Final = 0.3
-BREACH_COUNT_PREFIX: Final = "broken_"  # of the columns that count breaches by rule
-# Not `double`: clients that submit a message again after its deduplication window do so on their own.
+FRAGMENTATION_PROBABILITY: Final = 0.3
+VIOLATION_COUNT_PREFIX: Final = "broken_"  # prefix of the columns that count violations by rule
+# Excludes `double`: clients cause it themselves by resubmitting a message after its deduplication window.
 CLIENT_RULES: Final = ("early", "unended")
 
 
 @dataclass(frozen=True, slots=True)
 class TrialResult:
-    """What came of one random run.
+    """The result of one random run.
 
     Attributes:
-        point: what was played.
-        broken_rules: names of rules, or `crash: ...`; empty: nothing went wrong.
-        weight_share: the share of the offered priority weight that was obtained, 0 to 1.
+        point: the inputs of the run.
+        broken_rules: names of the broken rules, or `crash: ...`; empty: the run succeeded.
+        weight_share: obtained share of the offered priority weight, 0 to 1.
     """
 
     point: Point
@@ -62,7 +62,7 @@
 
     @property
     def is_failure(self) -> bool:
-        """Whether a rule was broken, or something crashed."""
+        """Whether a rule was broken or the run crashed."""
         return bool(self.broken_rules)
 
 
@@ -70,24 +70,26 @@
     """Return the point of a trial: the base with another seed, random faults and a random link.
 
     Args:
-        base: the point that is varied.
-        seed: of the search.
-        number: of the trial; the same seed and number give the same point.
+        base: the point to vary.
+        seed: seed of the search.
+        number: number of the trial; the same seed and number give the same point.
     """
     rng = np.random.default_rng([seed, number])
     count = int(rng.integers(1, MAX_FAULTS, endpoint=True))
     faults = [_draw_fault(rng, base) for _ in range(count)]
     faults.sort(key=lambda fault: fault.at_ms)
     link = LinkProfile(float(rng.choice(LATENCIES_MS)), float(rng.choice(JITTERS_MS)))
-    is_torn = bool(rng.random() < TORN_PROBABILITY)
-    environment = Environment(link, is_fragmenting=is_torn, faults=_without_unanswerable(faults))
+    is_fragmenting = bool(rng.random() < FRAGMENTATION_PROBABILITY)
+    environment = Environment(
+        link, is_fragmenting=is_fragmenting, faults=_without_unsurvivable_faults(faults)
+    )
     return replace(base, seed=int(rng.integers(1, 2**31)), environment=environment)
 
 
 def _draw_fault(rng: np.random.Generator, base: Point) -> InjectedFault:
     kind = FaultKind(str(rng.choice(FAULT_KINDS)))
     courier = str(rng.choice([f"n{number}" for number in range(base.courier_count)]))
-    remote = str(rng.choice(REMOTE_PLACES))
+    remote = str(rng.choice(REMOTE_NODES))
     start_ms = round(float(rng.uniform(0.5, base.duration_seconds)) * MS_PER_SECOND)
     duration_ms = float(rng.exponential(MEAN_DURATION_SECONDS)) * MS_PER_SECOND
     match kind:
@@ -99,10 +101,10 @@
             target = remote if rng.random() < 0.5 else ""
             return InjectedFault(start_ms, kind, courier, target)
         case FaultKind.WALL_TIME_STEP:
-            step_ms = float(rng.normal(0.0, CLOCK_STEP_DEVIATION_SECONDS)) * MS_PER_SECOND
+            step_ms = float(rng.normal(0.0, CLOCK_STEP_STANDARD_DEVIATION_SECONDS)) * MS_PER_SECOND
             return InjectedFault(start_ms, kind, courier, "", round(step_ms))
         case FaultKind.ENDPOINT_OFFLINE:
-            target = remote if remote in PARTNER_PLACES else PARTNER_PLACES[0]
+            target = remote if remote in PARTNER_NODES else PARTNER_NODES[0]
             return InjectedFault(start_ms, kind, courier, target, round(duration_ms + MIN_DURATION_MS))
         case _ if kind in INSTANT_KINDS:
             return InjectedFault(start_ms, kind, courier, "", 0.0)
@@ -110,11 +112,12 @@
             return InjectedFault(start_ms, kind, courier, "", round(duration_ms + MIN_DURATION_MS))
 
 
-def _without_unanswerable(faults: list[InjectedFault]) -> tuple[InjectedFault, ...]:
-    """Leave out what no courier can survive without a breach.
+def _without_unsurvivable_faults(faults: list[InjectedFault]) -> tuple[InjectedFault, ...]:
+    """Remove the faults that no courier can survive without a violation.
 
-    One that loses both its clock and its power cannot know how much time has passed; one that loses its power
-    or is terminated while its disk is full cannot have stored the last completions.
+    A courier whose clock is stepped and whose power is lost cannot measure the time that has passed. A
+    courier that loses its power or is restarted while its disk is full cannot have stored the last
+    completions.
     """
     stopped = {fault.source for fault in faults if fault.kind in (FaultKind.POWER_LOSS, FaultKind.RESTART)}
     powered_off = {fault.source for fault in faults if fault.kind is FaultKind.POWER_LOSS}
@@ -127,16 +130,16 @@
 
 
 def run_trial(point: Point) -> TrialResult:
-    """Play a point and report which rules it broke; a crash of what is played is a failure as well."""
+    """Run a point and report which rules it broke; a crash of the run is also a failure."""
     try:
-        summary = play(point).run
-    except Exception as err:  # the search goes on after any crash, and reports it
+        summary = run_point(point).run
+    except Exception as err:  # the search reports any crash and continues
         crash = f"crash: {type(err).__name__}: {err}"[:MAX_CRASH_LENGTH]
         return TrialResult(point, (crash,), 0.0)
     broken_rules = [
-        column.removeprefix(BREACH_COUNT_PREFIX)
+        column.removeprefix(VIOLATION_COUNT_PREFIX)
         for column, value in summary.items()
-        if column.startswith(BREACH_COUNT_PREFIX) and value
+        if column.startswith(VIOLATION_COUNT_PREFIX) and value
     ]
     broken_rules += [rule for rule in CLIENT_RULES if summary[rule]]
     weight_share = summary["worth"]
@@ -151,17 +154,17 @@
     worker_count: int | None = None,
     on_result: Callable[[TrialResult], None] = lambda result: None,
 ) -> list[TrialResult]:
-    """Play random variations of a point.
+    """Run random variations of a point.
 
     Args:
-        base: the point that is varied.
-        seed: of the search.
-        trial_count: how many variations to play.
-        worker_count: processes; None: as many as cores.
+        base: the point to vary.
+        seed: seed of the search.
+        trial_count: number of variations to run.
+        worker_count: number of processes; None: one for each core.
         on_result: called after each trial.
 
     Returns:
-        The worst results first: failures, and then by weight share; at most `MAX_RESULTS`.
+        At most `MAX_RESULTS` results, the worst first: failures, then ascending weight share.
     """
     worst = list[TrialResult]()
     with ProcessPoolExecutor(worker_count or os.cpu_count()) as pool:
--- a/winchspan/experiments/measures.py
+++ b/winchspan/experiments/measures.py
@@ -1,7 +1,7 @@
-"""Works out the rows that are kept of a run: service over time, lost weight, and latencies.
+"""Computes the rows that are stored of a run: service over time, lost weight, and latencies.
 
-A message has the priority weight of its class if it is delivered within its latency objective, and less
-later; the tables call it worth.
+A message obtains the priority weight of its class if it is delivered within its latency objective, and less
+weight if it is delivered later. Columns of the stored tables call the weight `worth`.
 
 The encoded names of the rows' fields are the columns of the stored tables.
 """
@@ -22,14 +22,14 @@
 
 WINDOW_MS: Final = 10_000.0
 QUANTILES: Final = (1.0, 5.0, 10.0, 25.0, 50.0, 75.0, 90.0, 95.0, 99.0, 99.9, 100.0)
-MIN_LATENCY_MS: Final = 1  # the least that a histogram holds
-MAX_LATENCY_MS: Final = 120_000  # the most that it holds
-SIGNIFICANT_DIGITS: Final = 3  # of a histogram
-MIN_LOST_WEIGHT: Final = 1e-9  # less is rounding
+MIN_LATENCY_MS: Final = 1  # lower bound of a histogram
+MAX_LATENCY_MS: Final = 120_000  # upper bound of a histogram
+SIGNIFICANT_DIGITS: Final = 3  # decimal digits of precision of a histogram
+MIN_LOST_WEIGHT: Final = 1e-9  # smaller values are rounding errors
 
 
 class WindowRow(msgspec.Struct, frozen=True):
-    """The service of a destination in one window of first submissions; time in ms from the start."""
+    """The service of a destination for messages first submitted in one window; time in ms from the start."""
 
     destination: int
     start_ms: float = msgspec.field(name="at")
@@ -40,7 +40,7 @@
 
 
 class LossCause(StrEnum):
-    """Why a message has lost weight; the values stand in stored tables."""
+    """Why a message has lost weight; the values are part of the stored tables."""
 
     LATE = "late"
     FAILED = "failed"
@@ -50,7 +50,7 @@
 
 
 class CauseRow(msgspec.Struct, frozen=True):
-    """Weight that a destination lost by one cause."""
+    """The weight that a destination lost by one cause."""
 
     destination: int
     cause: str
@@ -76,13 +76,13 @@
 def window_rows(
     clients: Clients, calls_at: dict[int, list[float]], started_at: float, duration_ms: float
 ) -> list[WindowRow]:
-    """Return weight offered and obtained, and calls, by destination and window.
+    """Return the offered and obtained weight and the rate of calls by destination and window.
 
     Args:
-        clients: with all messages of the run.
-        calls_at: by destination, when its partner received calls, in ms of the clock.
-        started_at: the beginning of the run, ms.
-        duration_ms: for which clients submitted messages.
+        clients: the clients, with all messages of the run.
+        calls_at: by destination, the times at which its partner received calls, ms of the clock.
+        started_at: start of the run, ms of the clock.
+        duration_ms: time during which clients submitted messages.
     """
     rows = []
     for destination in sorted(calls_at):
@@ -91,7 +91,7 @@
         while start_ms < duration_ms:
             begin = started_at + start_ms
             end = begin + WINDOW_MS
-            submitted = [message for message in messages if begin <= message.born < end]
+            submitted = [message for message in messages if begin <= message.first_submission_at_ms < end]
             call_count = sum(begin <= called_at < end for called_at in calls_at[destination])
             rows.append(
                 WindowRow(
@@ -108,7 +108,7 @@
 
 
 def offered_weight(clients: Clients, message: Message) -> float:
-    """Return the weight of a message that is delivered in time."""
+    """Return the weight that a message obtains if it is delivered in time."""
     return clients.classes[message.stream.cls].worth
 
 
@@ -116,9 +116,9 @@
     """Return why a message has lost weight."""
     if message.delivered_at is not None:
         return LossCause.LATE
-    if message.ended_as == "failed":
+    if message.final_state == "failed":
         return LossCause.FAILED
-    if message.ended_as == "returned":
+    if message.final_state == "returned":
         return LossCause.REJECTED_AFTER_ACCEPTANCE
     return LossCause.INCOMPLETE if message.awaits_final_answer else LossCause.REJECTED
 
@@ -139,7 +139,7 @@
 
 
 def latency_rows(clients: Clients) -> list[LatencyRow]:
-    """Return quantiles of the time to delivery by destination and class."""
+    """Return quantiles of the time to delivery by destination and message class."""
     histograms: dict[tuple[int, str], HdrHistogram] = {}
     for message in clients.messages:
         if message.delivered_at is None:
@@ -147,7 +147,7 @@
         key = (message.stream.destination, message.stream.cls)
         if key not in histograms:
             histograms[key] = HdrHistogram(MIN_LATENCY_MS, MAX_LATENCY_MS, SIGNIFICANT_DIGITS)
-        latency_ms = round(message.delivered_at - message.born)
+        latency_ms = round(message.delivered_at - message.first_submission_at_ms)
         histograms[key].record_value(min(MAX_LATENCY_MS, max(MIN_LATENCY_MS, latency_ms)))
     return [
         LatencyRow(
--- a/winchspan/experiments/report.py
+++ b/winchspan/experiments/report.py
@@ -1,4 +1,4 @@
-"""Writes the page of an experiment: its charts, mean values, differences and broken rules."""
+"""Writes the report page of an experiment: charts, mean values, differences and broken rules."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from winchspan.experiments.results import EXPERIMENT_FILE, ResultStore, Table
 
 MEASURES: Final = ("worth", "worth_other", "most_a_second", "calls_out", "refusals", "regained")
-MAX_BREACHES: Final = 50  # on the page; the table has all
+MAX_VIOLATIONS: Final = 50  # shown on the page; the table contains all
 PAGE_FILE: Final = "report.html"
 
 PAGE_TEMPLATE: Final = jinja2.Template(
@@ -28,7 +28,7 @@
 <p>{{ runs }} runs; {{ broken }}.</p>
 {% for name, caption in pictures %}<h2>{{ caption }}</h2><img src="{{ name }}" alt="{{ caption }}">
 {% endfor %}
-<h2>Figures, in the mean over seeds</h2>
+<h2>Mean values over the seeds</h2>
 <table><tr>{% for head in heads %}<th>{{ head }}</th>{% endfor %}</tr>
 {% for row in rows %}<tr>{% for cell in row %}<td>{{ cell }}</td>{% endfor %}</tr>
 {% endfor %}</table>
@@ -47,7 +47,7 @@
 
 
 class _DifferenceRow(NamedTuple):
-    """A row of the page's table of differences, as text."""
+    """A row of the page's table of differences, formatted as text."""
 
     measure: str
     load: str
@@ -72,14 +72,14 @@
     page = PAGE_TEMPLATE.render(
         title=f"Experiment of {len(variants)} variant{'s' if len(variants) > 1 else ''}",
         runs=len(runs),
-        broken=describe_breaches(runs),
+        broken=describe_violations(runs),
         pictures=charts,
         heads=means.columns,
         rows=[[_format_cell(cell) for cell in row] for row in means.rows()],
         first=variants[0],
         second=variants[1] if len(variants) > 1 else "",
         differences=_difference_rows(runs, variants),
-        breaches=store.table(Table.BREACHES).head(MAX_BREACHES).rows(),
+        breaches=store.table(Table.VIOLATIONS).head(MAX_VIOLATIONS).rows(),
         text=(store.directory / EXPERIMENT_FILE).read_text(),
     )
     path = store.directory / PAGE_FILE
@@ -87,10 +87,10 @@
     return path
 
 
-def describe_breaches(runs: pl.DataFrame) -> str:
-    """Return a phrase that says how often rules were broken in the runs of a table."""
-    breach_count = int(runs["breaches"].sum())
-    return f"rules were broken {breach_count} times" if breach_count else "no rule was broken"
+def describe_violations(runs: pl.DataFrame) -> str:
+    """Return a phrase with the number of violations in the runs of a table."""
+    violation_count = int(runs["breaches"].sum())
+    return f"rules were broken {violation_count} times" if violation_count else "no rule was broken"
 
 
 def _draw_charts(store: ResultStore, runs: pl.DataFrame) -> list[Chart]:
@@ -116,7 +116,7 @@
 
 
 def _difference_rows(runs: pl.DataFrame, variants: list[str]) -> list[_DifferenceRow]:
-    """Return how the second variant differs from the first; none if there is only one."""
+    """Return the differences of the second variant from the first; none for a single variant."""
     if len(variants) < 2:
         return []
     baseline, candidate = (runs.filter(pl.col("variant") == variant) for variant in variants[:2])
--- a/winchspan/experiments/results.py
+++ b/winchspan/experiments/results.py
@@ -1,4 +1,4 @@
-"""Stores runs by their address, plays those that are missing on all cores, and makes tables of them."""
+"""Stores runs under their addresses, executes missing runs on all cores, and builds tables from them."""
 
 from __future__ import annotations
 
@@ -14,32 +14,32 @@
 
 from winchspan.experiments.experiment import Experiment, Point, hash_code
 from winchspan.experiments.measures import Row
-from winchspan.experiments.runner import Run, play
+from winchspan.experiments.runner import Run, run_point
 
-MAX_OTHER_RUNS: Final = 10_000  # runs of other code or other files that are kept
+MAX_OTHER_RUNS: Final = 10_000  # retained runs of other code or other experiment files
 RUNS_DIRECTORY: Final = "runs"
 EXPERIMENT_FILE: Final = "experiment.sexp"
 
 
 class Table(StrEnum):
-    """The tables of an experiment; the values are the names of their files and of the fields of a run."""
+    """The tables of an experiment; the values are file names and field names of a stored run."""
 
     RUN = "run"
     WINDOWS = "windows"
     CAUSES = "causes"
     LATENCIES = "latencies"
-    BREACHES = "breaches"
+    VIOLATIONS = "breaches"
 
 
 class ResultsError(Exception):
-    """A directory of results cannot be used; the message says why."""
+    """A directory of results cannot be used; the message states the reason."""
 
 
 class ResultStore:
-    """A directory: `runs/ADDRESS.json`, the experiment's text, and the tables as Parquet.
+    """A directory with runs (`runs/ADDRESS.json`), the experiment file, and the tables as Parquet files.
 
     Attributes:
-        directory: the directory; it need not exist before `play_missing`.
+        directory: path of the directory; `run_missing` creates it.
     """
 
     def __init__(self, directory: Path) -> None:
@@ -49,23 +49,23 @@
         """Return the points whose runs are not stored yet."""
         return [point for point in points if not self._run_path(point, code_hash).exists()]
 
-    def play_missing(
+    def run_missing(
         self,
         experiment: Experiment,
         worker_count: int | None = None,
         on_progress: Callable[[int], None] = lambda run_count: None,
     ) -> int:
-        """Play what is missing and write the tables.
+        """Execute the runs that are not stored yet and write the tables.
 
-        A run is stored as soon as it is complete: an experiment that was interrupted continues where it was.
+        Each run is stored as soon as it is complete, so that an interrupted experiment can be resumed.
 
         Args:
-            experiment: whose points are played.
-            worker_count: processes; None: as many as cores.
+            experiment: the experiment whose points are run.
+            worker_count: number of processes; None: one for each core.
             on_progress: called with the number of runs that have become available.
 
         Returns:
-            How many runs were played.
+            The number of runs that were executed.
         """
         code_hash = hash_code()
         (self.directory / RUNS_DIRECTORY).mkdir(parents=True, exist_ok=True)
@@ -73,7 +73,7 @@
         missing = self.missing_points(experiment.points, code_hash)
         on_progress(len(experiment.points) - len(missing))
         with ProcessPoolExecutor(worker_count or os.cpu_count()) as pool:
-            futures = {pool.submit(play, point): point for point in missing}
+            futures = {pool.submit(run_point, point): point for point in missing}
             for future in as_completed(futures):
                 self._write_run(self._run_path(futures[future], code_hash), future.result())
                 on_progress(1)
@@ -83,10 +83,10 @@
         return len(missing)
 
     def table(self, table: Table) -> pl.DataFrame:
-        """Read one of the tables.
+        """Read a table.
 
         Raises:
-            ResultsError: if there is none, or it cannot be read.
+            ResultsError: if the table does not exist or cannot be read.
         """
         try:
             return pl.read_parquet(self._table_path(table))
@@ -100,7 +100,7 @@
         return self.directory / f"{table.value}.parquet"
 
     def _delete_old_runs(self, needed: set[Path]) -> None:
-        """Delete the oldest runs of other code or other files, beyond a bound."""
+        """Delete the oldest runs of other code or other files that exceed `MAX_OTHER_RUNS`."""
         runs = (self.directory / RUNS_DIRECTORY).glob("*.json")
         others = sorted((path for path in runs if path not in needed), key=lambda path: path.stat().st_mtime)
         surplus = max(0, len(others) - MAX_OTHER_RUNS)
@@ -111,14 +111,16 @@
     def _write_run(path: Path, run: Run) -> None:
         partial = path.with_suffix(".part")
         partial.write_bytes(msgspec.json.encode(run))
-        os.replace(partial, path)  # so that a run is stored completely or not at all
+        os.replace(partial, path)  # atomic: a run is stored completely or not at all
 
     @staticmethod
     def _read_run(path: Path) -> Run:
         try:
             return msgspec.json.decode(path.read_bytes(), type=Run)
         except (OSError, msgspec.MsgspecError) as err:
-            raise ResultsError(f"{path}: cannot be read: {err}; delete it and run again") from None
+            raise ResultsError(
+                f"{path}: cannot be read: {err}; delete the file and run the experiment again"
+            ) from None
 
     def _write_tables(self, runs: Sequence[Run]) -> None:
         for table in Table:
@@ -136,5 +138,5 @@
             return [row for run in runs for row in run.causes]
         case Table.LATENCIES:
             return [row for run in runs for row in run.latencies]
-        case Table.BREACHES:
+        case Table.VIOLATIONS:
             return [row for run in runs for row in run.breaches]
--- a/winchspan/experiments/runner.py
+++ b/winchspan/experiments/runner.py
@@ -1,4 +1,4 @@
-"""Plays one point on the emulator and collects what is stored of its run."""
+"""Runs one point on the emulator and collects the rows that are stored of the run."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """What is stored of a run: rows of tables. Times in ms, rates in calls a second.
+    """The stored result of a run: rows of tables. Times in ms, rates in calls per second.
 
-    The names of the fields and of the columns are those of the stored files.
+    The names of fields and columns are part of the format of stored files.
     """
 
     run: Row
@@ -29,8 +29,8 @@
     breaches: list[Row]
 
 
-def play(point: Point) -> Run:
-    """Play a point on the emulator; the same point and code give the same run."""
+def run_point(point: Point) -> Run:
+    """Run a point on the emulator; the same point and code give the same result."""
     logger.remove()
     with tempfile.TemporaryDirectory(prefix="lab-") as name:
         directory = Path(name)
@@ -48,24 +48,24 @@
 def _collect(point: Point, emulation: Emulation, emulated: EmulationResult) -> Run:
     clients = emulation.clients
     assert clients is not None
-    calls_at = {number: partner.seen.calls for number, partner in emulation.partners.items()}
+    calls_at = {number: partner.observations.call_times_ms for number, partner in emulation.partners.items()}
     duration_ms = point.duration_seconds * MS_PER_SECOND
     key = _key_columns(point)
     window_key = key | {"listed": point.partner.listed}
     return Run(
         run=key | _summary_columns(emulated),
-        windows=_with_key(window_key, window_rows(clients, calls_at, emulation.began, duration_ms)),
+        windows=_with_key(window_key, window_rows(clients, calls_at, emulation.started_at_ms, duration_ms)),
         causes=_with_key(key, cause_rows(clients)),
         latencies=_with_key(key, latency_rows(clients)),
         breaches=[
             key
             | {
-                "rule": breach.rule,
-                "message": breach.message_id,
-                "at": breach.at_ms - emulation.began,
-                "evidence": breach.evidence,
+                "rule": violation.rule,
+                "message": violation.message_id,
+                "at": violation.at_ms - emulation.started_at_ms,
+                "evidence": violation.evidence,
             }
-            for breach in emulated.violations
+            for violation in emulated.violations
         ],
     )
 
@@ -82,7 +82,7 @@
 
 def _summary_columns(emulated: EmulationResult) -> Row:
     summary: Row = asdict(emulated.result)
-    summary["trace"] = emulated.trace
+    summary["trace"] = emulated.trace_hash
     summary["events"] = emulated.event_count
     summary["breaches"] = sum(emulated.violation_counts.values())
     return summary | {f"broken_{rule}": count for rule, count in emulated.violation_counts.items()}
--- a/winchspan/experiments/shrinking.py
+++ b/winchspan/experiments/shrinking.py
@@ -1,4 +1,4 @@
-"""Shrinks a failing run to a small one that breaks the same rule (Zeller and Hildebrandt 2002)."""
+"""Reduces a failing run to a smaller one that breaks the same rule (Zeller and Hildebrandt 2002)."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from winchspan.experiments.fault_search import TrialResult, run_trial
 from winchspan.simulation.link import LinkProfile
 
-MAX_TRIALS: Final = 200  # that shrinking one point may take
+MAX_TRIALS: Final = 200  # upper bound on the runs for shrinking one point
 MIN_DURATION_SECONDS: Final = 4.0
 DURATION_FACTORS: Final = (0.5, 0.8)
-MIN_HALVED_LOAD: Final = 0.2  # a load above it is halved
+MIN_HALVED_LOAD: Final = 0.2  # loads above it are halved
 
 
 def rule_name(broken_rule: str) -> str:
-    """Return the name of a broken rule without its details: all crashes are one rule."""
+    """Return the name of a broken rule without its details; all crashes have the same name."""
     return broken_rule.partition(":")[0]
 
 
 def shrink_candidates(point: Point) -> Iterator[Point]:
-    """Yield points that are a little smaller than another, the largest reductions first."""
+    """Yield reductions of a point: fewer faults first, then a lower load and a simpler environment."""
     yield from _with_fewer_faults(point)
     yield from _with_less_load(point)
 
@@ -59,16 +59,16 @@
         yield replace(point, load=round(point.load / 2, 3))
 
 
-def _has_fault_at(point: Point, place: str) -> bool:
-    return any(place in (fault.source, fault.target) for fault in point.environment.faults)
+def _has_fault_at(point: Point, node: str) -> bool:
+    return any(node in (fault.source, fault.target) for fault in point.environment.faults)
 
 
 def shrink(result: TrialResult, run: Callable[[Point], TrialResult] = run_trial) -> TrialResult:
-    """Return the smallest result found that still breaks the first rule that this one breaks.
+    """Return the smallest failure found that breaks the same rule as the first broken rule of a result.
 
     Args:
-        result: a failure.
-        run: plays a point.
+        result: the failure to reduce.
+        run: function that runs a point.
     """
     rule = rule_name(result.broken_rules[0])
     smallest = result
--- a/winchspan/fakes/__init__.py
+++ b/winchspan/fakes/__init__.py
@@ -1,6 +1,6 @@
-"""Fakes of outside parties (a partner, clients, discovery) and the rehearsals in which couriers meet them.
+"""Fakes of outside parties (partners, clients, discovery) and rehearsals that run couriers against them.
 
-The models `partner` and `clients` do no I/O; a clock and timers drive them. `rehearsal_in_process` runs them
-with real delivery engines in virtual time; `rehearsal` puts them behind sockets on loopback, with couriers as
-processes. The courier imports none of this.
+The models in `partner` and `clients` do no I/O. A clock and timers drive them. `rehearsal_in_process` runs
+them with real delivery engines in virtual time. `rehearsal` runs them behind sockets on loopback, with
+courier processes. The courier itself imports nothing from this package.
 """
--- a/winchspan/fakes/audit.py
+++ b/winchspan/fakes/audit.py
@@ -1,4 +1,4 @@
-"""Evaluates a run by what the partners and the clients observed."""
+"""Evaluates a run from the observations of its partners and clients."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from winchspan.fakes.partner import Partner
 
 SECOND_MS: Final = 1_000.0
-STEADY_RATIO: Final = 0.95  # of the steady rate of deliveries: service counts as regained
-RATE_WINDOW_MS: Final = 3_000.0  # over which a rate of deliveries is measured
-RATE_STEP_MS: Final = 100.0  # between two measurements
-CLUSTER_WINDOW_MS: Final = 200.0  # within which retries count as simultaneous
+RECOVERED_RATIO: Final = 0.95  # of the steady rate of deliveries, from which service counts as recovered
+RATE_WINDOW_MS: Final = 3_000.0  # window of each measurement of the rate of deliveries
+RATE_STEP_MS: Final = 100.0  # interval between measurements of the rate
+RETRY_BURST_WINDOW_MS: Final = 200.0  # retries within this window count as simultaneous
 
 
 class _TimeSpan(NamedTuple):
-    """A half-open span of time, in ms of the run's clock."""
+    """A half-open time interval, in ms of the run's clock."""
 
     begin: float
     end: float
@@ -27,8 +27,8 @@
         return self.begin <= time < self.end
 
 
-def most_in_window(times: Sequence[float], window_ms: float = SECOND_MS) -> int:
-    """Return the largest count of entries of a sorted sequence in any half-open window."""
+def max_count_in_window(times: Sequence[float], window_ms: float = SECOND_MS) -> int:
+    """Return the largest number of sorted times that fall into one half-open window."""
     most = 0
     first = 0
     for last, time in enumerate(times):
@@ -38,90 +38,100 @@
     return most
 
 
-def regained_after(delivered: Sequence[float], back: float, steady_rate: float, end: float) -> float | None:
-    """Return when deliveries regain 95% of a steady rate after an outage.
+def recovery_time_ms(
+    delivered: Sequence[float], outage_end: float, steady_rate: float, end: float
+) -> float | None:
+    """Return how long deliveries take to recover to 95% of their steady rate after an outage.
 
     Args:
-        delivered: sorted times of deliveries, in ms.
-        back: the end of the outage, in ms.
-        steady_rate: deliveries a second before the outage.
-        end: the end of the run, in ms.
+        delivered: times of deliveries in ms, sorted.
+        outage_end: end of the outage, in ms.
+        steady_rate: deliveries per second before the outage.
+        end: end of the run, in ms.
 
     Returns:
-        The time since `back`, in ms; None if the rate is not regained within the run.
+        The time since `outage_end`, in ms; None if the rate does not recover within the run.
     """
-    time = back + RATE_WINDOW_MS
+    time = outage_end + RATE_WINDOW_MS
     while time <= end:
         count = bisect_left(delivered, time) - bisect_left(delivered, time - RATE_WINDOW_MS)
-        if count / RATE_WINDOW_MS * SECOND_MS >= STEADY_RATIO * steady_rate:
-            return time - back
+        if count / RATE_WINDOW_MS * SECOND_MS >= RECOVERED_RATIO * steady_rate:
+            return time - outage_end
         time += RATE_STEP_MS
     return None
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """The figures of one run. The field names are columns in the stored results of experiments."""
-
-    worth: float  # delivered worth over possible worth, for clients that honour retry-after
-    worth_other: float  # the same, for the other destinations
-    most_a_second: int  # the most calls that the partner received in any second
-    calls_out: int  # calls that it received during outages
-    refusals: int
-    falls: int  # collapses under too much load
-    early: int  # retries before the retry-after of clients that honour it
+    """The measurements of one run; the field names are columns of the stored results of experiments."""
+
+    worth: float  # delivered worth over possible worth, of clients that honour the retry-after
+    worth_other: float  # the same ratio, averaged over the other destinations
+    most_a_second: int  # the largest number of calls that the partner received in any second
+    calls_out: int  # calls that the partner received during outages
+    refusals: int  # calls that the partner rejected
+    falls: int  # collapses of the partner under load
+    early: int  # retries before the retry-after, by clients that honour it
     twice: int  # messages with two final answers
     double: int  # messages with an idempotency key that took effect twice
-    lump: int  # the most retries within 200 ms
-    returns: int  # retries of clients
-    ended: int  # messages of the clients
+    lump: int  # the largest number of retries within 200 ms
+    returns: int  # retries by clients
+    ended: int  # all messages of the clients
     delivered: int
-    unended: int  # accepted messages that were neither delivered nor ended by a notification
+    unended: int  # accepted messages without a final answer: neither delivered nor notified
     regained: float | None  # ms from the end of the last outage to 95% of the steady rate of deliveries
 
 
-def evaluate_run(partner: Partner, clients: Clients, began: float, ended: float) -> Result:
-    """Evaluate a run between two readings of its clock, in ms; `partner` is the one that is judged."""
-    seen = partner.seen
+def evaluate_run(partner: Partner, clients: Clients, started_at_ms: float, ended_at_ms: float) -> Result:
+    """Evaluate the calls to `partner` in a run from `started_at_ms` to `ended_at_ms` of its clock."""
+    observations = partner.observations
     number = partner.settings.number
-    outages = _outage_spans(partner, began)
+    outages = _outage_spans(partner, started_at_ms)
     return Result(
         worth=clients.worth_ratio(number),
         worth_other=_worth_ratio_of_others(clients, number),
-        most_a_second=most_in_window(seen.calls),
-        calls_out=sum(1 for time in seen.calls if any(outage.contains(time) for outage in outages)),
-        refusals=len(seen.refused),
-        falls=len(seen.falls),
-        early=clients.count.early,
-        twice=clients.count.twice,
-        double=clients.count.double,
-        lump=most_in_window(sorted(clients.count.returns), CLUSTER_WINDOW_MS),
-        returns=len(clients.count.returns),
+        most_a_second=max_count_in_window(observations.call_times_ms),
+        calls_out=sum(
+            1 for time in observations.call_times_ms if any(outage.contains(time) for outage in outages)
+        ),
+        refusals=len(observations.rejection_times_ms),
+        falls=len(observations.collapse_times_ms),
+        early=clients.counts.early_retries,
+        twice=clients.counts.repeated_final_answers,
+        double=clients.counts.repeated_effects,
+        lump=max_count_in_window(sorted(clients.counts.retry_times_ms), RETRY_BURST_WINDOW_MS),
+        returns=len(clients.counts.retry_times_ms),
         ended=len(clients.messages),
         delivered=sum(message.delivered_at is not None for message in clients.messages),
         unended=sum(
             message.awaits_final_answer and message.delivered_at is None for message in clients.messages
         ),
-        regained=_regained_after_last_outage(partner, clients, _TimeSpan(began, ended), outages),
+        regained=_recovery_time_after_last_outage_ms(
+            partner, clients, _TimeSpan(started_at_ms, ended_at_ms), outages
+        ),
     )
 
 
-def _outage_spans(partner: Partner, began: float) -> list[_TimeSpan]:
+def _outage_spans(partner: Partner, started_at_ms: float) -> list[_TimeSpan]:
     settings = partner.settings
-    planned = [_TimeSpan(began + outage.begin, began + outage.end) for outage in settings.outages]
-    return planned + [_TimeSpan(time, time + settings.fall_for) for time in partner.seen.falls]
+    planned = [
+        _TimeSpan(started_at_ms + outage.begin, started_at_ms + outage.end) for outage in settings.outages
+    ]
+    return planned + [
+        _TimeSpan(time, time + settings.fall_for) for time in partner.observations.collapse_times_ms
+    ]
 
 
-def _worth_ratio_of_others(clients: Clients, judged: int) -> float:
-    others = {message.stream.destination for message in clients.messages} - {judged}
+def _worth_ratio_of_others(clients: Clients, audited_destination: int) -> float:
+    others = {message.stream.destination for message in clients.messages} - {audited_destination}
     ratios = [clients.worth_ratio(other) for other in sorted(others)]
     return sum(ratios) / len(ratios) if ratios else 1.0
 
 
-def _regained_after_last_outage(
+def _recovery_time_after_last_outage_ms(
     partner: Partner, clients: Clients, run: _TimeSpan, outages: list[_TimeSpan]
 ) -> float | None:
-    if not partner.seen.returns:
+    if not partner.observations.recovery_times_ms:
         return None
     delivered = sorted(
         message.delivered_at
@@ -131,4 +141,4 @@
     first_outage_begin = min((outage.begin for outage in outages), default=run.end)
     count_before = sum(1 for time in delivered if time < first_outage_begin)
     steady_rate = count_before / max(1.0, first_outage_begin - run.begin) * SECOND_MS
-    return regained_after(delivered, partner.seen.returns[-1], steady_rate, run.end)
+    return recovery_time_ms(delivered, partner.observations.recovery_times_ms[-1], steady_rate, run.end)
--- a/winchspan/fakes/client_connections.py
+++ b/winchspan/fakes/client_connections.py
@@ -1,4 +1,4 @@
-"""The fake clients' RESP2 connections to the couriers: reused when idle, and opened at need."""
+"""The fake clients' RESP2 connections to couriers: a pool of idle ones, and new ones on demand."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class _Connection(NamedTuple):
-    """One connection to a courier."""
+    """A connection to a courier."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -27,7 +27,7 @@
 
 
 def _format_submit(message: Message, left_ms: float, *, is_retry: bool) -> bytes:
-    """Return the SUBMIT command of a message with a time left, in ms."""
+    """Return the SUBMIT command for a message that expires in `left_ms`."""
     fields = (
         f"c={message.stream.cls},d={left_ms:.0f},k={message.idempotency_key},"
         f"dest={message.stream.destination}"
@@ -40,17 +40,17 @@
 
 
 class ClientConnections:
-    """Submits the clients' messages, and reports the answers to the clients.
+    """Submits the messages of the fake clients, and reports the couriers' answers to them.
 
     Attributes:
-        clients: who is told of the answers.
-        ports: the couriers' ports, by their numbers.
+        clients: receive the answers.
+        ports: of the couriers, by courier number.
     """
 
     def __init__(
         self, clients: Clients, clock: Clock, load_balancer: LoadBalancer, show: Callable[[str], None]
     ) -> None:
-        """Create it without connections; `show` prints a line for each rejection."""
+        """Create the pool without connections; `show` prints a line for each rejection."""
         self.clients = clients
         self.ports: list[int] = []
         self._clock = clock
@@ -60,7 +60,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def submit(self, message: Message, is_retry: bool) -> None:
-        """Submit a message, in a task of its own."""
+        """Submit a message in a background task."""
         task = asyncio.get_running_loop().create_task(self._submit(message, is_retry))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -82,10 +82,10 @@
             self.clients.rejected(message_id, float(words[1]) if has_retry_after else 0.0)
 
     async def _exchange(self, port: int, command: bytes) -> bytes:
-        """Return a courier's answer to a command; empty if there is none.
+        """Return a courier's answer to a command; empty without an answer.
 
-        An idle connection may have been closed by the courier; the command is sent on a new one then. It is
-        not sent again after a timeout, since the first copy may still be under way.
+        The courier may have closed an idle connection. The command is then sent on a new one. After a timeout
+        it is not sent again, since the first copy may still be in flight.
         """
         attempts: list[_Connection | None] = [None]
         if self._idle.get(port):
@@ -93,7 +93,7 @@
         for idle_connection in attempts:
             try:
                 connection = idle_connection or await _Connection.open(port)
-            except OSError:  # also where it does not come up in time: nothing has been sent on it
+            except OSError:  # also a timeout while connecting: nothing has been sent
                 continue
             try:
                 connection.writer.write(command)
--- a/winchspan/fakes/client_load.py
+++ b/winchspan/fakes/client_load.py
@@ -1,8 +1,8 @@
-"""Clients that submit messages to a fleet at a rate, on the running event loop, real or simulated.
+"""Clients that submit messages to a fleet at a given rate, on the running event loop, real or simulated.
 
-Each message goes to a courier on a connection of its own. Its client waits 400 ms for the reply, as the
-platform's clients do, and after a rejection or none retries at another courier, with a new id and the old
-token. A message that was answered `+OK` is owed one final answer.
+Each submission has a connection of its own. The client waits 400 ms for the reply, as the platform's clients
+do. After a rejection or a timeout it retries at another courier, with a new id and the same token. A message
+that was answered `+OK` must get exactly one final answer.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 from winchspan.fakes.ports import HOST
 from winchspan.fakes.submission import Submission
 
-REPLY_TIMEOUT_SECONDS: Final = 0.4  # that a client waits for its reply
+REPLY_TIMEOUT_SECONDS: Final = 0.4
 RETRY_BACKOFF_SECONDS: Final = 0.3
 MAX_ATTEMPTS: Final = 3
-MESSAGE_ID_STEP: Final = 8  # between the ids of two messages; each attempt has an id of its own
+MESSAGE_ID_STEP: Final = 8  # distance of the ids of two messages: each submission takes the next id
 PAYMENT: Final = "order-payment"
 NOTICE: Final = "gallery-notice"
-DEPOSIT: Final = "deposit"  # a class whose messages may run at most once; the platform has none
+DEPOSIT: Final = "deposit"  # at-most-once class, which the platform does not have
 MESSAGE_CLASSES: Final = {
     **platform(1).classes,
     DEPOSIT: api.MessageClass(DEPOSIT, 1.0, 4 * SECOND_NS, 24 * SECOND_NS, 0.4, api.Effect.ONCE),
 }
 DEFAULT_DEADLINES_SECONDS: Final = {PAYMENT: 24.0, NOTICE: 9.0, DEPOSIT: 24.0}
-CLASS_WEIGHTS: Final = (55, 25, 20)  # of the classes in the order of their deadlines
+CLASS_WEIGHTS: Final = (55, 25, 20)  # of payments, notices and deposits, as in DEFAULT_DEADLINES_SECONDS
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptedMessage:
-    """A message that a courier has answered `+OK`; times are in seconds of the run's clock."""
+    """A message that a courier answered `+OK`; times in seconds of the run's clock."""
 
     message_id: str
     token: str
@@ -47,7 +47,7 @@
 
 
 class FirstSubmission(NamedTuple):
-    """When a token was submitted first, and with which class."""
+    """The first submission of a token: its message class, and its time in seconds of the run's clock."""
 
     class_name: str
     at_seconds: float
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ClientMessage:
-    """A message before it has been accepted."""
+    """A message that no courier has accepted yet."""
 
     number: int
     class_name: str
@@ -70,20 +70,20 @@
 
 @dataclass(slots=True)
 class ClientLoad:
-    """Messages at a rate, until `stop`.
+    """Submits messages at a rate until `stop`.
 
     Attributes:
-        ports: of the couriers, by name.
-        messages_per_second: mean of the exponential arrivals.
-        destination_count: of the endpoints' list.
-        clock: of the run, in seconds.
-        seed: of all randomness.
-        key_count: number of ordering keys that payments have.
-        deadlines_seconds: by class; the classes are drawn by `CLASS_WEIGHTS` in this order.
-        accepted: by message id.
-        submitted: by token.
-        rejected_count: attempts that were answered otherwise than `+OK`.
-        unanswered_count: attempts without a reply in time.
+        ports: client ports of the couriers, by name.
+        messages_per_second: mean rate; the intervals are exponentially distributed.
+        destination_count: number of destinations in the endpoint list.
+        clock: the run's clock, in seconds.
+        seed: of all random numbers.
+        key_count: number of ordering keys of payments.
+        deadlines_seconds: by class; classes are drawn with `CLASS_WEIGHTS` in this order.
+        accepted: accepted messages, by message id.
+        submitted: first submissions, by token.
+        rejected_count: submissions that got another reply than `+OK`.
+        unanswered_count: submissions without a reply within `REPLY_TIMEOUT_SECONDS`.
     """
 
     ports: Mapping[str, int]
@@ -100,7 +100,7 @@
     _is_stopped: bool = False
 
     async def run(self) -> None:
-        """Submit messages until `stop`, and wait for the clients that are still at it."""
+        """Submit messages until `stop`, then wait for the clients that still wait or retry."""
         rng = random.Random(self.seed)
         tasks: set[asyncio.Task[None]] = set()
         number = 0
@@ -118,7 +118,7 @@
         self._is_stopped = True
 
     def _draw_message(self, rng: random.Random, number: int) -> _ClientMessage:
-        """Draw a message; those of one ordering key go to one courier while it runs."""
+        """Draw a message; messages of one ordering key are submitted to the same courier first."""
         class_name = rng.choices(list(self.deadlines_seconds), CLASS_WEIGHTS)[0]
         key = rng.randrange(1, self.key_count + 1) if class_name == PAYMENT else 0
         destination = key % self.destination_count if key else rng.randrange(self.destination_count)
@@ -126,7 +126,7 @@
         return _ClientMessage(number, class_name, key, destination, first_courier)
 
     async def _run_client(self, message: _ClientMessage) -> None:
-        """Submit one message until a courier accepts it."""
+        """Submit a message, up to `MAX_ATTEMPTS` times, until a courier accepts it."""
         couriers = list(self.ports)
         deadline_at = self.clock() + self.deadlines_seconds[message.class_name]
         self.submitted[message.token] = FirstSubmission(message.class_name, self.clock())
@@ -142,7 +142,7 @@
             else:
                 self.unanswered_count += 1
                 if message.class_name == DEPOSIT:
-                    return  # it may have been accepted, and must not be repeated
+                    return  # the courier may have accepted it, and it must not run twice
             await asyncio.sleep(RETRY_BACKOFF_SECONDS)
 
     def _make_submission(self, message: _ClientMessage, attempt: int, deadline_at: float) -> Submission:
@@ -169,7 +169,7 @@
         )
 
     async def _submit(self, courier: str, submission: Submission) -> bytes:
-        """Return the reply of a courier; empty if there is none in time."""
+        """Return the courier's reply; empty without a reply in time."""
         writer: asyncio.StreamWriter | None = None
         try:
             async with asyncio.timeout(REPLY_TIMEOUT_SECONDS):
--- a/winchspan/fakes/consensus_world.py
+++ b/winchspan/fakes/consensus_world.py
@@ -1,6 +1,6 @@
-"""A simulated Raft cluster in virtual time, with disks that persist, tear writes, fill up or are lost.
+"""A simulated Raft cluster in virtual time, whose disks may tear writes, fill up or be lost.
 
-Each step checks from outside the invariants: one leader per term, one entry per index for ever.
+Each step checks two invariants on the committed state: one leader per term, and one entry per index.
 """
 
 from __future__ import annotations
@@ -25,37 +25,39 @@
 from winchspan.consensus.timing import RaftTiming
 from winchspan.fakes.virtual_time import NetworkFaults, VirtualTimeWorld
 
-MAX_UNREAD_MESSAGES: Final = 500  # of a frozen node; later ones are lost
+MAX_UNREAD_MESSAGES: Final = 500  # buffered for a frozen node; further ones are lost
 TIMER_TOLERANCE_MS: Final = 1e-6
 PROPOSAL_INTERVAL_MS: Final = 200.0
 
 
 class InvariantViolationError(AssertionError):
-    """An invariant does not hold."""
+    """An invariant of the cluster is violated."""
 
 
 @dataclass(slots=True)
 class SimulatedNode:
-    """A node's disk, its process if one runs, and what that has not read while frozen."""
+    """A node's disk, its process if it runs, and the unread messages of a frozen process."""
 
     node_id: str
     persistent_state: PersistentState = field(default_factory=PersistentState)
     raft: Raft | None = None
     unread: list[tuple[str, Message]] | None = None
     is_disk_full: bool = False
-    pending_writes: list[PersistState] = field(default_factory=list)  # that wait for the full disk
-    commands: list[bytes] = field(default_factory=list)  # committed, as this process has seen them
-    next_tick_ms: float = -1.0  # true time of the armed timer
-    clock_rate: float = 1.0  # seconds of its clock in a true second
+    pending_writes: list[PersistState] = field(
+        default_factory=list
+    )  # writes that wait until the disk has space
+    commands: list[bytes] = field(default_factory=list)  # committed commands that this process has applied
+    next_tick_ms: float = -1.0  # virtual time of the armed timer; negative without one
+    clock_rate: float = 1.0  # seconds of the node's clock per second of virtual time
 
     @property
     def is_running(self) -> bool:
-        """Whether a process runs and is not frozen."""
+        """Whether the node's process runs and is not frozen."""
         return self.raft is not None and self.unread is None
 
 
 class ConsensusWorld(VirtualTimeWorld):
-    """Some nodes, their disks, their network and their time."""
+    """The nodes of a Raft cluster with their disks, network and clocks."""
 
     def __init__(
         self,
@@ -64,21 +66,23 @@
         timing: RaftTiming | None = None,
         network: NetworkFaults | None = None,
     ) -> None:
-        """Make the nodes; the first bootstraps the cluster.
+        """Create the nodes; the first one bootstraps the cluster.
 
         Args:
-            node_ids: `name#incarnation` each.
-            seed: of all randomness.
-            timing: of the nodes.
-            network: its faults; a good one by default.
+            node_ids: ids of the nodes, in the form `name#incarnation`.
+            seed: of all random numbers.
+            timing: Raft timing of the nodes.
+            network: faults of the network; none but a small delay by default.
         """
         super().__init__(seed, network or NetworkFaults())
         self.timing = timing or RaftTiming()
         self.nodes = {node_id: SimulatedNode(node_id) for node_id in node_ids}
         self.leaders: dict[int, str] = {}  # by term
         self.committed: dict[int, LogEntry] = {}  # by index
-        self.crash_at_write: dict[str, int] = {}  # a node dies at its so-manyth write from now
-        self.persists_votes = True  # tests may break the caller's obligation
+        self.crash_at_write: dict[
+            str, int
+        ] = {}  # by node: number of the write from now at which the process is killed
+        self.persists_votes = True  # False in tests that violate the obligation to persist votes
         for node_id in node_ids:
             self.start(node_id)
         first = self.nodes[node_ids[0]]
@@ -86,12 +90,12 @@
         self.execute(first, first.raft.bootstrap(self.clock(first), frozenset(node_ids)))
 
     def clock(self, node: SimulatedNode) -> float:
-        """Return what a node's clock reads, ms."""
+        """Return the reading of a node's clock, in ms."""
         return self.now * node.clock_rate
 
     # ---- faults and requests of the test -----------------------------------------------------------------
     def start(self, node_id: str) -> None:
-        """Start a process with what the disk holds; a new node has an empty one."""
+        """Start a process on the state of its disk; the disk of a new node is empty."""
         node = self.nodes.setdefault(node_id, SimulatedNode(node_id))
         seed = self.rng.randrange(1 << 30)
         node.raft = Raft(node_id, node.persistent_state, seed, self.clock(node), self.timing)
@@ -102,15 +106,15 @@
         self.arm_timer(node)
 
     def kill(self, node_id: str) -> None:
-        """End a process; its disk stays."""
+        """Kill a process; its disk stays."""
         self.nodes[node_id].raft = None
 
     def freeze(self, node_id: str) -> None:
-        """Stop a process without ending it."""
+        """Freeze a process, as SIGSTOP does."""
         self.nodes[node_id].unread = []
 
     def thaw(self, node_id: str) -> None:
-        """Let a frozen process continue; it reads its messages first."""
+        """Resume a frozen process, which first handles its unread messages."""
         node = self.nodes[node_id]
         unread = node.unread or []
         node.unread = None
@@ -119,7 +123,7 @@
         self.arm_timer(node)
 
     def set_disk_full(self, node_id: str, is_full: bool) -> None:
-        """Fill a disk, or free it; the pending writes reach a free disk first."""
+        """Fill or free a disk; once it is free, the pending writes are applied first."""
         node = self.nodes[node_id]
         node.is_disk_full = is_full
         if is_full or node.raft is None:
@@ -130,7 +134,7 @@
         self.execute(node, node.raft.set_suspended(self.clock(node), False))
 
     def partition(self, node_ids: set[str]) -> None:
-        """Cut some nodes off from the rest, both ways."""
+        """Partition some nodes from the others, in both directions."""
         self.cut_links |= {
             (source, target)
             for source in self.nodes
@@ -139,7 +143,7 @@
         }
 
     def propose(self, data: bytes) -> int:
-        """Propose a command to each running node that leads, until one accepts; returns the index, or 0."""
+        """Propose a command to each running leader until one accepts it; return its index, or 0."""
         for node in self.nodes.values():
             if node.raft is not None and node.raft.role is RaftRole.LEADER and node.unread is None:
                 index, commands = node.raft.propose(self.clock(node), data)
@@ -149,7 +153,7 @@
         return 0
 
     def change_membership(self, members: frozenset[str]) -> int:
-        """Propose other voting members to the leader; returns the index, or 0."""
+        """Propose other voting members to the leader; return the index of the entry, or 0."""
         node = self.leader()
         if node is None or node.raft is None:
             return 0
@@ -158,12 +162,12 @@
         return index
 
     def compact(self, node: SimulatedNode, data: bytes) -> None:
-        """Replace what a running node has committed by a snapshot."""
+        """Replace the committed log entries of a running node by a snapshot."""
         assert node.raft is not None
         self.execute(node, node.raft.compact(node.raft.commit_index, data))
 
     def leader(self) -> SimulatedNode | None:
-        """Return the running leader of the latest term, if there is one."""
+        """Return the running leader of the latest term; None without a leader."""
         leaders = [
             (node.raft.term, node)
             for node in self.nodes.values()
@@ -173,7 +177,7 @@
 
     # ---- time --------------------------------------------------------------------------------------------
     def commit(self, data: bytes, timeout_ms: float = 20_000.0) -> None:
-        """Propose a command until it is committed."""
+        """Propose a command repeatedly until it is committed."""
         started_at = self.now
         while not any(entry.data == data for entry in self.committed.values()):
             if self.now - started_at > timeout_ms:
@@ -182,11 +186,11 @@
             self.run(PROPOSAL_INTERVAL_MS)
 
     def arm_timer(self, node: SimulatedNode) -> None:
-        """Arm a node's timer anew, if its machine wants an earlier tick."""
+        """Rearm a node's timer if its state machine needs an earlier tick."""
         if node.raft is None or node.unread is not None:
             return
         raft = node.raft
-        due_at = max(self.now, raft.next_tick_at / node.clock_rate)
+        due_at = max(self.now, raft.tick_due_ms / node.clock_rate)
         if not self.now < node.next_tick_ms <= due_at:
             node.next_tick_ms = due_at
             self.call_later(due_at - self.now, lambda: self._tick(node, raft))
@@ -195,13 +199,13 @@
         if node.raft is not raft or node.unread is not None:
             return
         node.next_tick_ms = -1.0
-        if raft.next_tick_at <= self.clock(node) + TIMER_TOLERANCE_MS:
-            self.execute(node, raft.tick(max(raft.next_tick_at, self.clock(node))))
+        if raft.tick_due_ms <= self.clock(node) + TIMER_TOLERANCE_MS:
+            self.execute(node, raft.tick(max(raft.tick_due_ms, self.clock(node))))
         self.arm_timer(node)
 
     # ---- commands ----------------------------------------------------------------------------------------
     def execute(self, node: SimulatedNode, commands: list[RaftCommand]) -> None:
-        """Carry out a node's commands in their order; its process may die at any write."""
+        """Execute a node's commands in order; the process may be killed at any write."""
         raft = node.raft
         for command in commands:
             if node.raft is not raft:
@@ -242,22 +246,22 @@
             node.persistent_state = apply_persist_state(node.persistent_state, write)
 
     def _crash_in_write(self, node: SimulatedNode, write: PersistState) -> None:
-        """End a process before a write is on disk, or with a torn tail, which recovery drops."""
+        """Kill a process before a write reaches the disk, or with a torn tail, which recovery drops."""
         self.kill(node.node_id)
         if write.entries and self.rng.random() < 0.5:
             torn_write = replace(write, entries=write.entries[:-1])
             node.persistent_state = apply_persist_state(node.persistent_state, torn_write)
 
     def _apply(self, node: SimulatedNode, entry: LogEntry) -> None:
-        known = self.committed.setdefault(entry.index, entry)
-        if known != entry:
-            raise InvariantViolationError(f"{node.node_id} commits {entry}, but {known} was committed")
+        committed = self.committed.setdefault(entry.index, entry)
+        if committed != entry:
+            raise InvariantViolationError(f"{node.node_id} commits {entry}, but {committed} was committed")
         if entry.data:
             node.commands.append(entry.data)
 
     # ---- network -----------------------------------------------------------------------------------------
     def is_lost(self, source: str, target: str) -> bool:
-        """Decide whether a message is lost on its way."""
+        """Return whether the network loses a message; draws a random number unless the link is cut."""
         if (source, target) in self.cut_links:
             return True
         return self.rng.random() < self.network.loss or target not in self.nodes
--- a/winchspan/fakes/courier_failures.py
+++ b/winchspan/fakes/courier_failures.py
@@ -1,7 +1,7 @@
-"""Failures of couriers in a fleet under load, audited by what clients and endpoints saw.
+"""Failures of couriers in a fleet under load, audited from the observations of clients and endpoints.
 
-The same in virtual time (`simulate_failures`) and on real processes with a relay between each two of them
-(`run_failures_on_processes`).
+`simulate_failures` runs a scenario in virtual time. `run_failures_on_processes` runs it on real processes,
+with a relay between each pair of them.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 from winchspan.simulation.cluster import EmulatedFleet, FleetOptions
 from winchspan.simulation.link import LinkProfile
 
-DEDUPLICATION_WINDOW_SECONDS: Final = 10.0  # of payments at their endpoints, from the first delivery on
+DEDUPLICATION_WINDOW_SECONDS: Final = 10.0  # of payments at their endpoints, from the first delivery
 DESTINATION_COUNT: Final = 6
-SERVICE_SECONDS: Final = 0.2  # that a call takes
+SERVICE_SECONDS: Final = 0.2  # duration of a call
 ENDPOINT_CALLS_PER_SECOND: Final = 200.0
-QUICK_RESTART_SECONDS: Final = 0.6  # from a kill to the restart before anybody has noticed
-DRAIN_SECONDS: Final = 30.0  # in which all accepted messages get their final answers
+QUICK_RESTART_SECONDS: Final = 0.6  # from a kill to a restart that precedes the failure detection
+DRAIN_SECONDS: Final = 30.0  # time limit for the final answers of all accepted messages
 CLIENTS_TIMEOUT_SECONDS: Final = 60.0
 
 
@@ -36,7 +36,7 @@
     """How a courier fails."""
 
     KILL = "kill"
-    LOSE_DATA = "lose"  # it is killed, and its data directory is lost
+    LOSE_DATA = "lose"  # killed, and its data directory deleted
     FREEZE = "freeze"
     QUICK_RESTART = "blink"
     CUT_OUTGOING = "mute"
@@ -46,15 +46,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FailureScenario:
-    """A fleet under load, and the failures of its couriers.
+    """Parameters of a run with failures of couriers under load.
 
     Attributes:
-        directory: of all couriers' files.
+        directory: holds all files of the couriers.
         courier_count: size of the fleet.
-        failure_count: rounds of failures.
-        seed: of all randomness.
-        replica_count: of each journal; at most so many couriers fail at once.
-        messages_per_second: that clients submit.
+        failure_count: number of rounds of failures.
+        seed: of all random numbers.
+        replica_count: replicas of each journal, and the maximum number of couriers that fail at once.
+        messages_per_second: rate at which clients submit messages.
         hands_over: whether a courier hands its messages over when it shuts down; for processes only.
     """
 
@@ -69,15 +69,15 @@
 
 @dataclass(frozen=True, slots=True)
 class DeliveryAudit:
-    """What clients and endpoints saw of the accepted messages.
+    """The outcome of the accepted messages, as clients and endpoints observed it.
 
     Attributes:
-        lost: answered `+OK`, and neither delivered nor ended by a notification.
-        delivered_after_notification: ids of messages that a notification had ended before.
-        concurrent: ids of messages of which two calls were in flight together.
-        repeated: tokens of payments that ran again after their deduplication window, and of deposits that
-            ran again at all.
-        redelivered_count: messages that were delivered more than once, as their class allows.
+        lost: messages that were answered `+OK`, but neither delivered nor notified.
+        delivered_after_notification: ids of messages that were delivered after their notification.
+        concurrent: ids of messages that were in two calls at the same time.
+        repeated: tokens of payments that were executed again after their deduplication window, and of
+            deposits that were executed again at all.
+        redelivered_count: messages that were delivered more than once, which their class may allow.
     """
 
     lost: list[AcceptedMessage]
@@ -88,7 +88,7 @@
 
     @property
     def violations(self) -> dict[str, list[str]]:
-        """Messages, ids or tokens by the rule that they violate; empty if all rules hold."""
+        """Violating messages, ids or tokens, by rule; empty if all rules hold."""
         rules = {
             "lost": [str(message) for message in self.lost],
             "delivered after a notification": self.delivered_after_notification,
@@ -100,51 +100,51 @@
 
 @dataclass(frozen=True, slots=True)
 class FailureReport:
-    """The result of a run."""
+    """The result of a run with failures."""
 
-    failure_counts: Counter[str]  # by kind
+    failure_counts: Counter[str]  # injected failures, by kind
     accepted_count: int
     audit: DeliveryAudit
-    taken_over_count: int  # messages
+    taken_over_count: int  # messages that another courier took over
     rejected_count: int
     duration_seconds: float
 
 
 class FailingFleet(Protocol):
-    """A fleet whose couriers can be made to fail."""
+    """A fleet into whose couriers failures can be injected."""
 
     @property
     def names(self) -> list[str]:
-        """Names of all couriers."""
+        """Return the names of all couriers."""
 
-    def act(self, what: str, name: str) -> None:
-        """Do something to a courier (one of `faults.ACTS`, but for cuts)."""
+    def execute_action(self, action: str, name: str) -> None:
+        """Execute one of `faults.ACTIONS` on a courier, except for the isolations."""
 
     def cut(self, source: str, target: str) -> None:
-        """Cut the link between two couriers in one direction."""
+        """Drop all traffic in one direction of the link between two couriers."""
 
     def heal(self) -> None:
         """Restore all links."""
 
-    def whole(self) -> bool:
-        """Return whether all run, and each believes all to be alive."""
+    def are_all_alive(self) -> bool:
+        """Return whether all couriers run, and each sees all others as alive."""
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Run the fleet for some time."""
 
-    def until(self, what: str, check: Callable[[], bool]) -> float:
-        """Let time pass until a condition holds."""
+    def wait_until(self, description: str, condition: Callable[[], bool]) -> float:
+        """Run the fleet until a condition holds; return how long that took, in seconds."""
 
 
 def audit_deliveries(endpoints: RecordingEndpoints, load: ClientLoad) -> DeliveryAudit:
-    """Audit what the endpoints and the platform's agent received of the accepted messages."""
+    """Audit the calls and notifications for the accepted messages, as their receivers recorded them."""
     return DeliveryAudit(
         lost=[
             message
             for message_id, message in load.accepted.items()
             if not endpoints.has_final_answer(message_id)
         ],
-        # A notification for a message that was delivered before does no harm, by the protocol.
+        # The protocol allows a notification for a message that was delivered before.
         delivered_after_notification=endpoints.delivered_after_notification(load.accepted),
         concurrent=list(endpoints.concurrent_message_ids),
         repeated=_repeated_tokens(endpoints, load),
@@ -171,27 +171,27 @@
 def make_emulated_fleet(
     directory: Path, courier_count: int, seed: int, section_options: str
 ) -> EmulatedFleet:
-    """Make a fleet in virtual time that checks no endpoints, with the message classes of `ClientLoad`."""
+    """Create a fleet in virtual time without health checks, with the message classes of `ClientLoad`."""
     options = FleetOptions(
         endpoint_count=DESTINATION_COUNT,
         check_interval_seconds=0.0,
         link=LinkProfile(latency_ms=0.3, mean_jitter_ms=0.5),
-        operator_options=section_options,
-        changes={"classes": MESSAGE_CLASSES},
+        fleet_section_options=section_options,
+        settings_changes={"classes": MESSAGE_CLASSES},
     )
     return EmulatedFleet(directory, courier_count, seed, options)
 
 
 def simulate_failures(scenario: FailureScenario) -> FailureReport:
-    """Let couriers of a fleet in virtual time fail at random under load."""
+    """Inject random failures into a fleet under load, in virtual time."""
     section_options = f"(copies {scenario.replica_count})"
     fleet = make_emulated_fleet(scenario.directory, scenario.courier_count, scenario.seed, section_options)
     try:
         fleet.endpoints.service_seconds = SERVICE_SECONDS
         fleet.start()
-        fleet.until(
+        fleet.wait_until(
             "all accept messages",
-            lambda: all(member.figures().get("fleet.copies.mine") for member in fleet.members.values()),
+            lambda: all(member.metrics().get("fleet.copies.mine") for member in fleet.members.values()),
         )
         fleet.run(3.0)
         load = _make_load(scenario, fleet.ports, fleet.now)
@@ -199,14 +199,14 @@
         started_at = fleet.now()
         failure_counts = inject_failures(fleet, scenario)
         load.stop()
-        fleet.until("all clients have ended", clients.done)
+        fleet.wait_until("all clients have ended", clients.done)
         fleet.run(DRAIN_SECONDS)
         return FailureReport(
             failure_counts,
             len(load.accepted),
             audit_deliveries(fleet.endpoints, load),
             sum(
-                member.figures().get("fleet.copies.messages_taken_over", 0)
+                member.metrics().get("fleet.copies.messages_taken_over", 0)
                 for member in fleet.members.values()
             ),
             load.rejected_count,
@@ -217,7 +217,7 @@
 
 
 def run_failures_on_processes(scenario: FailureScenario) -> FailureReport:
-    """Do as `simulate_failures`, with a process for each courier and a relay between each two."""
+    """Run the scenario on one process per courier, with a relay between each pair."""
     endpoints = ThreadedRecordingEndpoints(DESTINATION_COUNT, ENDPOINT_CALLS_PER_SECOND)
     endpoints.service_seconds = SERVICE_SECONDS
     fleet = _make_fleet(scenario, endpoints)
@@ -226,7 +226,7 @@
     clients = threading.Thread(target=lambda: asyncio.run(load.run()))
     try:
         fleet.start()
-        fleet.until(
+        fleet.wait_until(
             "all accept messages",
             lambda: all(
                 courier.read_metrics().get("fleet.copies.mine") for courier in fleet.couriers.values()
@@ -273,7 +273,7 @@
 
 
 def _logged_takeover_count(fleet: Fleet) -> int:
-    """Return how many messages were taken over, by the logs: metrics end with their process."""
+    """Return how many messages were taken over, read from the logs: metrics are lost with their process."""
     return sum(
         int(message_count)
         for courier in fleet.couriers.values()
@@ -282,10 +282,10 @@
 
 
 def inject_failures(fleet: FailingFleet, scenario: FailureScenario) -> Counter[str]:
-    """Let couriers fail round after round, and wait each time until all have recovered.
+    """Inject failures in rounds, and wait after each round until all couriers have recovered.
 
     Returns:
-        How often each kind of failure was injected.
+        The number of injected failures, by kind.
     """
     rng = random.Random(scenario.seed)
     counts: Counter[str] = Counter()
@@ -295,29 +295,29 @@
         counts.update(kind.value for kind in failures.values())
         fleet.run(rng.uniform(0.5, 2.0))
         inject_failure_round(fleet, failures, rng)
-        fleet.until("all are there again", fleet.whole)
+        fleet.wait_until("all couriers have recovered", fleet.are_all_alive)
         fleet.run(rng.uniform(0.5, 3.0))
     return counts
 
 
 def inject_failure_round(fleet: FailingFleet, failures: dict[str, FailureKind], rng: random.Random) -> None:
-    """Let some couriers fail at the same time, each in its way, and recover after a while."""
+    """Inject one failure into each of some couriers at the same time, and end the failures later."""
     for name, kind in failures.items():
         _inject_failure(fleet, name, kind)
     is_quick = FailureKind.QUICK_RESTART in failures.values()
     fleet.run(QUICK_RESTART_SECONDS if is_quick else rng.uniform(0.3, 8.0))
     fleet.heal()
     for name in failures:
-        fleet.act("thaw", name)
-        fleet.act("start", name)
+        fleet.execute_action("thaw", name)
+        fleet.execute_action("start", name)
 
 
 def _inject_failure(fleet: FailingFleet, name: str, kind: FailureKind) -> None:
     match kind:
         case FailureKind.KILL | FailureKind.LOSE_DATA | FailureKind.FREEZE:
-            fleet.act(kind.value, name)
+            fleet.execute_action(kind.value, name)
         case FailureKind.QUICK_RESTART:
-            fleet.act("kill", name)
+            fleet.execute_action("kill", name)
         case _:
             for other in fleet.names:
                 if other != name and kind is not FailureKind.CUT_INCOMING:
--- a/winchspan/fakes/courier_process.py
+++ b/winchspan/fakes/courier_process.py
@@ -1,4 +1,4 @@
-"""A courier as a process of its own, with its configuration, data directory and log in one directory."""
+"""A courier process, with its configuration, data directory and log in one directory."""
 
 from __future__ import annotations
 
@@ -11,40 +11,40 @@
 from pathlib import Path
 from typing import Final
 
-from winchspan.fakes.platform import platform, wire
+from winchspan.fakes.platform import platform, settings_to_wire
 from winchspan.fakes.ports import free_ports
 from winchspan.fakes.scenario import Scenario
 from winchspan.fakes.sockets import HOST
 
 STOP_TIMEOUT_SECONDS: Final = 5.0  # from SIGTERM to SIGKILL
-DATA_DIRECTORY_PLACEHOLDER: Final = "@state@"  # in an operator's file: each courier's own data directory
+DATA_DIRECTORY_PLACEHOLDER: Final = "@state@"  # stands for the courier's data directory in an operator's file
 PR_SET_PDEATHSIG: Final = 1  # prctl(2)
-PORT_IN_USE: Final = "in use"  # of the system's message for EADDRINUSE
+PORT_IN_USE: Final = "in use"  # part of the system's message for EADDRINUSE
 MAX_LOG_LINE_LENGTH: Final = 200
 INHERITED_VARIABLES: Final = ("ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_STATE")
 
 
 def terminate_with_parent() -> None:
-    """Let the system end this process with its parent, on Linux: a killed rehearsal leaves no couriers."""
+    """Terminate this process when its parent ends, on Linux: a killed rehearsal leaves no couriers."""
     if sys.platform == "linux":
         ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGTERM)
 
 
 class CourierProcess:
-    """One courier, which is started and ended again and again in the same directory.
+    """A courier that is started and stopped repeatedly in the same directory.
 
     Attributes:
-        data_directory: its data directory.
-        port: the port that it listens on, once it is configured.
+        data_directory: holds the journal and other state.
+        port: port for clients; 0 until `configure`.
     """
 
     def __init__(self, directory: Path, number: int, operator: Path | None) -> None:
-        """Create a courier that is not configured.
+        """Create a courier without a configuration.
 
         Args:
-            directory: where its files are.
+            directory: holds all of its files.
             number: its number among the couriers.
-            operator: the operator's file; `@state@` in it stands for the data directory.
+            operator: the operator's file; `@state@` in it is replaced by the data directory.
         """
         self._directory = directory
         self._number = number
@@ -55,16 +55,16 @@
         self._process: subprocess.Popen[bytes] | None = None
 
     def free_port(self) -> int:
-        """Return a port that was free a moment ago, and that no outgoing connection is given."""
+        """Return a free port outside the system's range for outgoing connections."""
         return free_ports(1)[0]
 
     def configure(self, scenario: Scenario, discovery: int, known: dict[str, object]) -> None:
-        """Write the configuration, with a port that was free a moment ago.
+        """Choose a free port, and write the configuration.
 
         Args:
-            scenario: the run.
-            discovery: the port of discovery.
-            known: the endpoint list to begin with.
+            scenario: gives the platform's settings.
+            discovery: port of discovery.
+            known: initial endpoint list.
         """
         self.port = self.free_port()
         self.data_directory.mkdir(parents=True, exist_ok=True)
@@ -80,12 +80,12 @@
             "seed": f"{self._number + 1:x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512, "disk_mb": 3},
             "known": known,
-            "settings": wire(platform(scenario.couriers, self._number, **scenario.changes)),
+            "settings": settings_to_wire(platform(scenario.couriers, self._number, **scenario.changes)),
         }
         (self._directory / "config.json").write_text(json.dumps(configuration))
 
     def start(self) -> None:
-        """Start the process, if there is none."""
+        """Start the process unless it exists."""
         if self._process is not None:
             return
         options = ["--operator", str(self._operator)] if self._operator_template is not None else []
@@ -102,7 +102,7 @@
             )
 
     def resident_bytes(self) -> int:
-        """Return its resident memory; 0 if it is not running, or the system does not say."""
+        """Return the resident memory of the process; 0 without a process or without /proc."""
         if self._process is None:
             return 0
         try:
@@ -112,7 +112,7 @@
         return int(page_count) * os.sysconf("SC_PAGE_SIZE")
 
     def cpu_seconds(self) -> float:
-        """Return the CPU time of the present process; 0 if there is none, or the system does not say."""
+        """Return the CPU time of the process; 0 without a process or without /proc."""
         if self._process is None:
             return 0.0
         try:
@@ -123,32 +123,32 @@
         return (int(user) + int(system)) / os.sysconf("SC_CLK_TCK")
 
     def signal(self, number: signal.Signals) -> None:
-        """Send it a signal, if it is running."""
+        """Send the process a signal, if there is one."""
         if self._process is not None:
             self._process.send_signal(number)
 
     def crashed(self) -> bool:
-        """Return whether it has ended by itself."""
+        """Return whether the process has exited by itself."""
         return self._process is not None and self._process.poll() is not None
 
     def last_log_line(self) -> str:
-        """Return the last line of its log, cut to a length."""
+        """Return the last line of the log, at most `MAX_LOG_LINE_LENGTH` characters of it."""
         lines = (self._directory / "log").read_text(errors="replace").splitlines()
-        return lines[-1][:MAX_LOG_LINE_LENGTH] if lines else "without a word"
+        return lines[-1][:MAX_LOG_LINE_LENGTH] if lines else "its log is empty"
 
     def port_taken(self) -> bool:
-        """Return whether its log says that its port was in use."""
+        """Return whether the log reports that the port was in use."""
         return PORT_IN_USE in (self._directory / "log").read_text(errors="replace")
 
     def kill(self) -> None:
-        """End it without warning."""
+        """Kill the process."""
         if self._process is not None:
             self._process.kill()
             self._process.wait()
             self._process = None
 
     def stop(self) -> None:
-        """Shut it down gracefully, and kill it if that takes too long."""
+        """Shut the process down gracefully, and kill it after `STOP_TIMEOUT_SECONDS`."""
         if self._process is None:
             return
         self._process.terminate()
--- a/winchspan/fakes/discovery.py
+++ b/winchspan/fakes/discovery.py
@@ -1,4 +1,4 @@
-"""Fake discovery: the endpoint list with its watch, and the receiver of the platform's notifications."""
+"""Fake discovery: serves the endpoint list and its watch, and receives notifications."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from typing import Any, Final
 
 from winchspan.fakes.clients import Clients
-from winchspan.fakes.platform import KIND
+from winchspan.fakes.platform import ENDPOINT_KIND
 from winchspan.fakes.sockets import HOST, Request, Server, answer, read_request
 
-WATCH_HEARTBEAT_SECONDS: Final = 2.0  # between two empty lines of a watch
+WATCH_HEARTBEAT_SECONDS: Final = 2.0  # interval of the empty lines of an unchanged watch
 NOTIFICATIONS_PATH: Final = "/v1/notices"
 ENDPOINTS_PATH: Final = "/api/targets"
 
 
 class Discovery:
-    """The endpoint list, and who receives notifications.
+    """Serves the endpoint list, and passes notifications on to the fake clients.
 
     Attributes:
-        clients: who is notified.
-        server: the listening socket.
+        clients: receive the notifications.
+        server: listens for the couriers.
     """
 
     def __init__(self, clients: Clients, show: Callable[[str], None]) -> None:
-        """Create it with an empty list; `show` prints a line for each notification."""
+        """Create discovery with an empty list; `show` prints a line for each notification."""
         self.clients = clients
         self.server = Server(self._serve)
         self._show = show
@@ -35,12 +35,12 @@
         self._changed = asyncio.Event()
 
     def add_endpoint(self, name: str, port: int, destination: int, rate: float) -> None:
-        """List an endpoint with the rate, in calls a second, that its partner lists."""
+        """Add an endpoint to the list, with its listed rate in calls per second."""
         self._hosts[name] = {
             "host": name,
             "dial": f"{HOST}:{port}",
             "site": "a",
-            "class": KIND,
+            "class": ENDPOINT_KIND,
             "block": destination,
             "health": "up",
             "share": rate,
@@ -49,7 +49,7 @@
         self._publish()
 
     def remove_endpoint(self, name: str) -> None:
-        """Take an endpoint off the list."""
+        """Remove an endpoint from the list."""
         del self._hosts[name]
         self._publish()
 
@@ -59,7 +59,7 @@
         self._changed = asyncio.Event()
 
     def full_snapshot(self) -> dict[str, Any]:
-        """Return the complete endpoint list as it is sent."""
+        """Return the complete endpoint list in its wire format."""
         return {"seq": self._sequence_number, "whole": True, "hosts": list(self._hosts.values())}
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -83,11 +83,11 @@
             self.clients.notified(notification["id"], notification["state"], float(retry_after_ms))
             reason = f" ({notification['reason']})" if "reason" in notification else ""
             self._show(
-                f"{notification['state']} {notification['id']}, come back in {retry_after_ms} ms{reason}"
+                f"{notification['state']} {notification['id']}, retry after {retry_after_ms} ms{reason}"
             )
 
     async def _serve_watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Send a full snapshot at each change, and an empty line at least every two seconds."""
+        """Send a full snapshot at each change, and an empty line after each `WATCH_HEARTBEAT_SECONDS`."""
         writer.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n")
         sent_sequence_number = -1
         while not writer.is_closing() and not reader.at_eof():
--- a/winchspan/fakes/faults.py
+++ b/winchspan/fakes/faults.py
@@ -1,17 +1,18 @@
-"""Scripts of faults, each of which begins at an observed state: the same for processes and emulated couriers.
-
-A script is a file of S-expressions, one a step, which are executed in order:
-
-    (let x owner probes-3)    ; x is the holder of a leased role, once there is one;
-                              ; `(let x leader)`: the leader of the consensus
-    (freeze x)                ; also kill, start, thaw, lose (its data directory), fill and room (its disk),
-                              ; mute, deaf, alone, and (cut x y); `(heal)` ends all cuts
-    (until other probes-3 x)  ; wait until another node holds the role; also `owns x ROLE`, `owned ROLE`,
-                              ; `nobody ROLE`, `idle x` (holds no role), `led-without x`, `whole`
-    (rest 2)                  ; seconds
+"""Fault scripts whose steps wait for observed states, for courier processes and for emulated couriers.
+
+A script is a file of S-expressions. Each is a step, and the steps are executed in order:
+
+    (let x owner probes-3)    ; wait for the holder of a leased role, and bind x to it;
+                              ; `(let x leader)` binds x to the leader of the consensus
+    (freeze x)                ; also kill, start, thaw, lose (deletes the data directory), fill and room
+                              ; (fill and free the disk), mute, deaf, alone, (cut x y); `(heal)` ends cuts
+    (until other probes-3 x)  ; wait until another node than x holds the role; also `owns x ROLE`,
+                              ; `owned ROLE`, `nobody ROLE`, `idle x` (holds no role), `led-without x`
+                              ; (another node leads the consensus), `whole` (all run and see each other)
+    (rest 2)                  ; wait 2 seconds
     (repeat 3 STEP ...)
 
-`all` stands for every node in `kill`, `start` and `lose`. Only `rest` waits for a time.
+`all` stands for every node in `kill`, `start` and `lose`. Only `rest` waits for a fixed time.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 ALL_NODES: Final = "all"
 ACTIONS_ON_ALL_NODES: Final = ("kill", "start", "lose")
-ISOLATIONS: Final = ("mute", "deaf", "alone")  # sends nothing, receives nothing, neither
+ISOLATIONS: Final = ("mute", "deaf", "alone")  # drop outgoing, incoming, or all traffic of a node
 ACTIONS: Final = ("kill", "start", "freeze", "thaw", "lose", "fill", "room", *ISOLATIONS)
 CONDITION_ARGUMENT_COUNTS: Final = {
     "owns": 2,
@@ -39,10 +40,10 @@
 
 
 class ScriptError(ValueError):
-    """A script cannot be executed; the message says where and why."""
+    """A script is invalid or cannot be executed; the message has the position and the reason."""
 
 
-class Stage(Protocol):
+class ClusterUnderTest(Protocol):
     """A cluster that faults are injected into."""
 
     @property
@@ -52,19 +53,19 @@
     def now(self) -> float:
         """Return the time in seconds."""
 
-    def owners(self, duty: str) -> list[str]:
-        """Return the nodes that state that they hold a leased role now."""
+    def lease_holders(self, role: str) -> list[str]:
+        """Return the nodes that report a valid lease of a role."""
 
     def leader(self) -> str:
-        """Return the leader of the consensus; empty if there is none."""
+        """Return the leader of the consensus; empty without a leader."""
 
-    def whole(self) -> bool:
+    def are_all_alive(self) -> bool:
         """Return whether all nodes run, and each sees all others as alive."""
 
-    def idle(self, name: str) -> bool:
-        """Return whether a node answers and holds no leased role."""
+    def is_idle(self, name: str) -> bool:
+        """Return whether a node responds and holds no leased role."""
 
-    def act(self, what: str, name: str) -> None:
+    def execute_action(self, action: str, name: str) -> None:
         """Execute one of `ACTIONS` on a node, except for the isolations."""
 
     def cut(self, source: str, target: str) -> None:
@@ -76,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One step of a script: its kind and arguments, and the steps that it repeats."""
+    """A step of a script: its kind and arguments, and the steps that a `repeat` repeats."""
 
     kind: str
     arguments: tuple[str, ...]
@@ -92,17 +93,17 @@
 
     Args:
         text: the script.
-        name: its name in error messages.
+        name: name of the script in error messages.
 
     Raises:
         ScriptError: a step is invalid.
-        OperatorError: the text is not made of S-expressions.
+        OperatorError: the text does not consist of S-expressions.
     """
     return tuple(_parse_step(node, name) for node in read_nodes(text, name))
 
 
 def load_script(path: Path) -> tuple[Step, ...]:
-    """Parse a script's file; raises as `parse_script`."""
+    """Parse the script in a file; raises the errors of `parse_script`."""
     return parse_script(path.read_text(encoding="utf-8"), str(path))
 
 
@@ -155,24 +156,24 @@
 
 
 class ScriptRunner:
-    """Executes a script on a cluster, step by step, as the steps become possible."""
+    """Executes a script on a cluster, each step as soon as its condition holds."""
 
-    def __init__(self, steps: Iterable[Step], stage: Stage) -> None:
-        self._stage = stage
+    def __init__(self, steps: Iterable[Step], cluster: ClusterUnderTest) -> None:
+        self._cluster = cluster
         self._remaining = list(steps)
-        self._bound_names: dict[str, str] = {}  # by `let`
+        self._bound_names: dict[str, str] = {}  # bindings by `let`
         self._rests_until: float | None = None
 
     @property
     def position(self) -> str:
-        """The next step with its line, for error messages."""
+        """Line and text of the next step, for error messages."""
         if not self._remaining:
             return "at its end"
         step = self._remaining[0]
         return f"line {step.line}: {step}"
 
     def advance(self) -> bool:
-        """Execute all steps that are possible now; return True at the end of the script."""
+        """Execute all steps that need not wait; return whether the script is complete."""
         while self._remaining:
             step = self._remaining[0]
             if step.kind == "repeat":
@@ -184,7 +185,7 @@
         return True
 
     def _try_step(self, step: Step) -> bool:
-        """Execute a step if that is possible now; return whether it is done."""
+        """Execute a step unless it has to wait; return whether it is complete."""
         arguments = step.arguments
         match step.kind:
             case "let":
@@ -194,16 +195,16 @@
             case "rest":
                 return self._has_rested(float(arguments[0]))
             case "heal":
-                self._stage.heal()
+                self._cluster.heal()
             case "cut":
-                self._stage.cut(self._node(arguments[0]), self._node(arguments[1]))
+                self._cluster.cut(self._node(arguments[0]), self._node(arguments[1]))
             case action:
                 self._execute_action(action, arguments[0])
         return True
 
     def _bind_name(self, arguments: tuple[str, ...]) -> bool:
         name, kind = arguments[:2]
-        found = [self._stage.leader()] if kind == "leader" else self._stage.owners(arguments[2])
+        found = [self._cluster.leader()] if kind == "leader" else self._cluster.lease_holders(arguments[2])
         if len(found) != 1 or not found[0]:
             return False
         self._bound_names[name] = found[0]
@@ -211,49 +212,49 @@
 
     def _has_rested(self, seconds: float) -> bool:
         if self._rests_until is None:
-            self._rests_until = self._stage.now() + seconds
-        if self._stage.now() < self._rests_until:
+            self._rests_until = self._cluster.now() + seconds
+        if self._cluster.now() < self._rests_until:
             return False
         self._rests_until = None
         return True
 
     def _node(self, word: str) -> str:
         name = self._bound_names.get(word, word)
-        if name not in self._stage.names:
-            raise ScriptError(f"{word!r} is no member and has not been bound")
+        if name not in self._cluster.names:
+            raise ScriptError(f"{word!r} is neither a node nor bound by `let`")
         return name
 
     def _execute_action(self, action: str, word: str) -> None:
         is_on_all = word == ALL_NODES and action in ACTIONS_ON_ALL_NODES
-        for name in self._stage.names if is_on_all else [self._node(word)]:
+        for name in self._cluster.names if is_on_all else [self._node(word)]:
             if action in ISOLATIONS:
                 self._isolate(action, name)
             else:
-                self._stage.act(action, name)
+                self._cluster.execute_action(action, name)
 
     def _isolate(self, action: str, name: str) -> None:
-        for other in self._stage.names:
+        for other in self._cluster.names:
             if other != name and action != "deaf":
-                self._stage.cut(name, other)
+                self._cluster.cut(name, other)
             if other != name and action != "mute":
-                self._stage.cut(other, name)
+                self._cluster.cut(other, name)
 
     def _holds(self, condition: str, arguments: tuple[str, ...]) -> bool:
-        """Return whether a condition of `until` holds."""
-        stage = self._stage
+        """Return whether the condition of an `until` step holds."""
+        cluster = self._cluster
         match condition:
             case "owns":
-                return stage.owners(arguments[1]) == [self._node(arguments[0])]
+                return cluster.lease_holders(arguments[1]) == [self._node(arguments[0])]
             case "owned":
-                return len(stage.owners(arguments[0])) == 1
+                return len(cluster.lease_holders(arguments[0])) == 1
             case "nobody":
-                return not stage.owners(arguments[0])
+                return not cluster.lease_holders(arguments[0])
             case "other":
-                owners = stage.owners(arguments[0])
+                owners = cluster.lease_holders(arguments[0])
                 return len(owners) == 1 and owners[0] != self._node(arguments[1])
             case "idle":
-                return stage.idle(self._node(arguments[0]))
+                return cluster.is_idle(self._node(arguments[0]))
             case "led-without":
-                return stage.leader() not in ("", self._node(arguments[0]))
+                return cluster.leader() not in ("", self._node(arguments[0]))
             case _:
-                return stage.whole()
+                return cluster.are_all_alive()
--- a/winchspan/fakes/fleet.py
+++ b/winchspan/fakes/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of couriers as real processes, for tests and rehearsals; a relay may stand between each two."""
+"""A fleet of courier processes, for tests and rehearsals, optionally with a relay between each pair."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 from winchspan.fakes.ports import HOST, free_ports
 from winchspan.fakes.relay import Relay
 
-PORTS_PER_COURIER: Final = 3  # for the fleet, clients and operators
+PORTS_PER_COURIER: Final = 3  # for other couriers, clients and operators
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessFleetOptions:
-    """What the couriers of a fleet have in common.
+    """Options that all couriers of a fleet share.
 
     Attributes:
-        section_options: further entries of each operator's file's section `fleet`.
-        has_relay: whether a relay stands between each two couriers.
+        section_options: further entries of section `fleet` in the operators' files.
+        has_relay: whether a relay connects each pair of couriers.
         seed: of the relay's faults.
-        discovery_port: where the couriers find discovery.
-        known_endpoints: the endpoint list that they start with, as discovery sends it.
-        settings_changes: of the platform's settings.
+        discovery_port: port of discovery.
+        known_endpoints: initial endpoint list, in the wire format of discovery.
+        settings_changes: fields of the platform's settings that differ from `platform`.
     """
 
     section_options: str = ""
@@ -46,29 +46,29 @@
 
 
 class Fleet:
-    """Some couriers, `n0` and on, that are members of one fleet.
+    """Courier processes `n0`, `n1`, ... that are members of one fleet.
 
-    It is a `Stage` of the scripts of faults (`winchspan.fakes.faults`), as simulated fleets are.
+    Implements `ClusterUnderTest` for fault scripts (`winchspan.fakes.faults`), as simulated fleets do.
 
     Attributes:
-        ports: at which the couriers listen for each other, by name.
+        ports: ports for traffic between couriers, by courier name.
         couriers: by name.
     """
 
     def __init__(self, directory: Path, size: int, options: ProcessFleetOptions | None = None) -> None:
-        """Write all files; no process is started.
+        """Write all files without starting a process.
 
         Args:
-            directory: for all files of all couriers.
+            directory: holds one directory per courier.
             size: number of couriers.
-            options: what they have in common.
+            options: shared by all couriers.
         """
         self._options = options or ProcessFleetOptions()
         names = [f"n{number}" for number in range(size)]
         links = [(source, target) for source in names for target in names if source != target]
         if not self._options.has_relay:
             links = []
-        ports = iter(free_ports(PORTS_PER_COURIER * size + len(links)))  # all at once: none is drawn twice
+        ports = iter(free_ports(PORTS_PER_COURIER * size + len(links)))  # one allocation, so that all differ
         self.ports = {name: next(ports) for name in names}
         self.couriers = {
             name: FleetCourier(
@@ -95,7 +95,7 @@
         return self.couriers[name]
 
     def set_members(self, names: list[str]) -> None:
-        """Write everybody's files anew, with these couriers as the members of the fleet."""
+        """Rewrite the files of all couriers, with the given couriers as members of the fleet."""
         for name, courier in self.couriers.items():
             members = " ".join(
                 f'"{other}={HOST}:{self._link_ports.get((name, other), self.ports[other])}"'
@@ -109,10 +109,10 @@
 
     # ---- life cycle --------------------------------------------------------------------------------------
     def start(self) -> None:
-        """Start all couriers, and wait until each believes all to be alive."""
+        """Start all couriers, and wait until each sees all others as alive."""
         for courier in self.couriers.values():
             courier.start()
-        self.wait_until_all_alive("all know each other")
+        self.wait_until_all_alive("each sees all others as alive")
 
     def stop(self) -> None:
         """End all processes and the relay."""
@@ -124,17 +124,17 @@
             self._relay.close()
 
     def wait_until_all_alive(self, description: str) -> float:
-        """Wait until each courier believes all to be alive; returns how long that took, in seconds."""
+        """Wait until each courier sees all others as alive; return how long that took, in seconds."""
         return self.wait_for_members(description, self.couriers, MemberCounts(alive=len(self.couriers)))
 
     def wait_for_members(self, description: str, observers: Iterable[str], counts: MemberCounts) -> float:
-        """Wait until some couriers believe so many members to be in each state.
+        """Wait until some couriers report the given number of members in each state.
 
         Returns:
             How long that took, in seconds.
 
         Raises:
-            AssertionError: if it takes too long, or a courier has failed meanwhile.
+            AssertionError: the wait timed out, or a courier has failed.
         """
         names = list(observers)
 
@@ -146,7 +146,7 @@
 
         return wait_for(description, is_reached)
 
-    # ---- a stage for scripts of faults -------------------------------------------------------------------
+    # ---- ClusterUnderTest --------------------------------------------------------------------------------
     @property
     def names(self) -> list[str]:
         """Names of all couriers."""
@@ -157,7 +157,7 @@
         return time.monotonic()
 
     def run(self, seconds: float) -> None:
-        """Let time pass; raises AssertionError if a courier has ended by itself."""
+        """Sleep for some time; raises AssertionError if a courier has exited by itself."""
         time.sleep(seconds)
         for courier in self.couriers.values():
             exit_code = courier.process.poll() if courier.process is not None else None
@@ -165,14 +165,14 @@
                 f"{courier.name} has exited with {exit_code}: {courier.read_log()[-300:]}"
             )
 
-    def until(self, what: str, check: Callable[[], bool]) -> float:
-        """Wait until a condition holds; returns how long that took, in seconds."""
-        return wait_for(what, check)
+    def wait_until(self, description: str, condition: Callable[[], bool]) -> float:
+        """Wait until a condition holds; return how long that took, in seconds."""
+        return wait_for(description, condition)
 
-    def act(self, what: str, name: str) -> None:
-        """Do something to a courier (one of `faults.ACTS`); a real disk is not filled."""
+    def execute_action(self, action: str, name: str) -> None:
+        """Execute one of `faults.ACTIONS` on a courier, except for the isolations, `fill` and `room`."""
         courier = self.couriers[name]
-        match what:
+        match action:
             case "start":
                 if courier.process is None:
                     courier.start()
@@ -184,26 +184,26 @@
                 courier.data_directory.mkdir()
             case _:
                 if courier.process is not None:
-                    courier.send_signal({"freeze": signal.SIGSTOP, "thaw": signal.SIGCONT}[what])
+                    courier.send_signal({"freeze": signal.SIGSTOP, "thaw": signal.SIGCONT}[action])
 
     def cut(self, source: str, target: str) -> None:
-        """Cut the link between two couriers in one direction."""
+        """Drop all traffic in one direction of the link between two couriers."""
         self.relay.cut(source, target)
 
     def heal(self) -> None:
         """Restore all links."""
         self.relay.heal()
 
-    def owners(self, duty: str) -> list[str]:
-        """Return the couriers that report a role's lease, each polled in turn."""
+    def lease_holders(self, role: str) -> list[str]:
+        """Return the couriers that report a valid lease of a role; they are polled one after another."""
         return [
             name
             for name, courier in self.couriers.items()
-            if courier.process is not None and duty in courier.read_leased_roles()
+            if courier.process is not None and role in courier.read_leased_roles()
         ]
 
     def leader(self) -> str:
-        """Return the courier that reports to lead the consensus; empty if none does."""
+        """Return the courier that reports that it leads the consensus; empty without one."""
         return next(
             (
                 name
@@ -213,13 +213,13 @@
             "",
         )
 
-    def whole(self) -> bool:
-        """Return whether all run, and each believes all to be alive."""
+    def are_all_alive(self) -> bool:
+        """Return whether all couriers run, and each sees all others as alive."""
         counts = MemberCounts(alive=len(self.couriers))
         return all(courier.read_member_counts() == counts for courier in self.couriers.values())
 
-    def idle(self, name: str) -> bool:
-        """Return whether a courier answers and holds no lease."""
+    def is_idle(self, name: str) -> bool:
+        """Return whether a courier responds and holds no lease."""
         metrics = self.couriers[name].read_metrics()
         return bool(metrics) and not any(
             epoch for metric, epoch in metrics.items() if metric.startswith(ROLE_METRIC_PREFIX)
--- a/winchspan/fakes/fleet_courier.py
+++ b/winchspan/fakes/fleet_courier.py
@@ -1,4 +1,4 @@
-"""One courier of a fleet as a real process, for tests and rehearsals: its files, signals and metrics."""
+"""One courier process of a fleet, for tests and rehearsals: its files, signals and metrics."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from typing import Any, Final, NamedTuple
 
 from winchspan.fakes.courier_process import terminate_with_parent
-from winchspan.fakes.platform import platform, wire
+from winchspan.fakes.platform import platform, settings_to_wire
 from winchspan.fakes.ports import HOST
 
-WAIT_TIMEOUT_SECONDS: Final = 60.0  # far more than anything takes: no result depends on it
-POLL_INTERVAL_SECONDS: Final = 0.02  # between two checks of a state that is waited for
+WAIT_TIMEOUT_SECONDS: Final = 60.0  # far longer than any wait takes, so that no result depends on it
+POLL_INTERVAL_SECONDS: Final = 0.02  # between two checks of a condition
 METRICS_TIMEOUT_SECONDS: Final = 1.0
 ADMIN_TIMEOUT_SECONDS: Final = 5.0
-UNUSED_PORT: Final = 9  # nothing listens there
+UNUSED_PORT: Final = 9  # nothing listens on it
 ROLE_METRIC_PREFIX: Final = "fleet.duty."
 
 
 class MemberCounts(NamedTuple):
-    """How many members of its fleet a courier believes to be in each state."""
+    """Number of members in each state, as a courier reports them."""
 
     alive: int = 0
     suspect: int = 0
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CourierPorts:
-    """Ports on loopback at which clients and operators reach a courier, and it reaches discovery."""
+    """Loopback ports of a courier for clients and operators, and the port of discovery."""
 
     client: int
     admin: int
@@ -51,7 +51,7 @@
         How long that took, in seconds.
 
     Raises:
-        AssertionError: with the description, if it does not hold in time.
+        AssertionError: the condition does not hold within `WAIT_TIMEOUT_SECONDS`; has the description.
     """
     started_at = time.monotonic()
     while not condition():
@@ -61,25 +61,25 @@
 
 
 class FleetCourier:
-    """A courier's files and its process, if one runs.
+    """The files of a courier, and its process while it runs.
 
     Attributes:
-        directory: of its configuration, its log and its data directory.
-        name: in the fleet.
-        operator_file: text of the operator's file, as the next `write_configuration` writes it.
-        process: that runs, or None.
+        directory: holds the configuration, the log and the data directory.
+        name: name in the fleet.
+        operator_file: text of the operator's file; `write_configuration` writes it.
+        process: running process; None without one.
     """
 
     def __init__(
         self, directory: Path, name: str, ports: CourierPorts, known_endpoints: Mapping[str, object]
     ) -> None:
-        """Name the files; `write_configuration` writes them.
+        """Create the courier without files; `write_configuration` writes them.
 
         Args:
-            directory: for all its files.
-            name: in the fleet.
-            ports: of the courier.
-            known_endpoints: the endpoint list that it starts with, as discovery sends it.
+            directory: holds all of its files.
+            name: name in the fleet.
+            ports: ports of the courier and of discovery.
+            known_endpoints: initial endpoint list, in the wire format of discovery.
         """
         self.directory = directory
         self.name = name
@@ -90,12 +90,12 @@
 
     @property
     def client_port(self) -> int:
-        """Port at which it accepts messages."""
+        """Port for clients."""
         return self._ports.client
 
     @property
     def data_directory(self) -> Path:
-        """Directory of its journal and of all else that outlasts its process."""
+        """Directory of the journal and of all other persistent state."""
         return self.directory / "state"
 
     @property
@@ -106,7 +106,7 @@
     def write_configuration(
         self, courier_count: int, settings_changes: Mapping[str, Any] | None = None
     ) -> None:
-        """Write the platform's configuration, with changes of its settings, and the operator's file."""
+        """Write the platform's configuration, with changed settings, and the operator's file."""
         self.data_directory.mkdir(parents=True, exist_ok=True)
         self.operator_path.write_text(self.operator_file)
         configuration = {
@@ -118,12 +118,12 @@
             "seed": "1",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512, "disk_mb": 3},
             "known": self._known_endpoints,
-            "settings": wire(platform(courier_count, **(settings_changes or {}))),
+            "settings": settings_to_wire(platform(courier_count, **(settings_changes or {}))),
         }
         (self.directory / "config.json").write_text(json.dumps(configuration))
 
     def start(self) -> None:
-        """Start a process; it appends to the log of the previous one."""
+        """Start a process; it appends to the log of previous processes."""
         environment = {**os.environ, "ROUTER_CONFIG": str(self.directory / "config.json")}
         with (self.directory / "log").open("ab") as log:
             self.process = subprocess.Popen(
@@ -140,19 +140,19 @@
         self.process.send_signal(signal_number)
 
     def kill(self) -> None:
-        """End the process without warning, stopped or not."""
+        """Kill the process, also a frozen one."""
         if self.process is not None:
             self.process.kill()
             self.process.wait()
             self.process = None
 
-    # ---- what it reports ----------------------------------------------------------------------------------
+    # ---- logs, metrics and commands -----------------------------------------------------------------------
     def read_log(self) -> str:
-        """Return all that its processes have logged."""
+        """Return the log of all of its processes."""
         return (self.directory / "log").read_text(errors="replace")
 
     def read_metrics(self) -> dict[str, int]:
-        """Return its metrics by name, without `courier.`; none if it does not answer."""
+        """Return the metrics by name without the prefix `courier.`; empty if the courier does not respond."""
         try:
             url = f"http://{HOST}:{self._ports.admin}/control/counters"
             with urllib.request.urlopen(url, timeout=METRICS_TIMEOUT_SECONDS) as response:
@@ -163,14 +163,14 @@
         return {name.removeprefix("courier."): int(value) for name, _, value in pairs}
 
     def post_admin(self, path: str) -> None:
-        """Post a command of operators; raises OSError if it is rejected."""
+        """Send an operator's command; raises OSError if the courier rejects it."""
         url = f"http://{HOST}:{self._ports.admin}/control/{path}"
         request = urllib.request.Request(url, method="POST")
         with urllib.request.urlopen(request, timeout=ADMIN_TIMEOUT_SECONDS):
             pass
 
     def read_leased_roles(self) -> dict[str, int]:
-        """Return the roles whose leases it holds now, with their epochs; none if it does not answer."""
+        """Return the epochs of the valid leases, by role; empty if the courier does not respond."""
         return {
             name.removeprefix(ROLE_METRIC_PREFIX): epoch
             for name, epoch in self.read_metrics().items()
@@ -178,6 +178,6 @@
         }
 
     def read_member_counts(self) -> MemberCounts:
-        """Return how many members it believes to be in each state; zeros if it does not answer."""
+        """Return the number of members in each state; zeros if the courier does not respond."""
         metrics = self.read_metrics()
         return MemberCounts(*(metrics.get(f"fleet.members.{state}", 0) for state in MemberCounts._fields))
--- a/winchspan/fakes/health_check_audit.py
+++ b/winchspan/fakes/health_check_audit.py
@@ -1,4 +1,4 @@
-"""An audit of the health checks that endpoints received: none repeated, late, or of a stale epoch."""
+"""Audits the health checks that endpoints received: no early, late or stale ones."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 from dataclasses import dataclass, field
 from typing import Final, NamedTuple
 
-EARLY_TOLERANCE: Final = 0.1  # share of the interval by which a check may be early, since delays vary
+EARLY_TOLERANCE: Final = 0.1  # tolerated earliness of a check, as a share of the interval, since delays vary
 
 
 @dataclass(frozen=True, slots=True)
 class ObservedHealthCheck:
-    """A health check as an endpoint received it.
+    """A health check that an endpoint received.
 
     Attributes:
-        received_at_seconds: by the monotonic clock of the observer.
+        received_at_seconds: time of receipt, by the monotonic clock of the observer.
         endpoint: name of the endpoint.
-        role: leased role of the node that checks it.
-        epoch: of the role's lease.
-        sequence: number of the check.
-        node: name of the node that sent it.
-        held_up_seconds: for how long the observer may have left it unread, since it did not run.
+        role: leased role under which the node checks the endpoint.
+        epoch: epoch of the role's lease.
+        sequence: sequence number of the check.
+        node: name of the node that sent the check.
+        max_read_delay_seconds: upper bound on how long the check lay unread while the observer was stalled.
     """
 
     received_at_seconds: float
@@ -29,11 +29,11 @@
     epoch: int
     sequence: int
     node: str
-    held_up_seconds: float = 0.0
+    max_read_delay_seconds: float = 0.0
 
 
 class HealthCheckViolation(NamedTuple):
-    """A health check that violates a rule, and how."""
+    """A health check that violates a rule, and a description of the violation."""
 
     check: ObservedHealthCheck
     description: str
@@ -41,14 +41,14 @@
 
 @dataclass(slots=True)
 class HealthCheckAudit:
-    """The violations in the health checks of a run.
+    """The violations among the health checks of a run.
 
     Attributes:
-        check_count: of all health checks.
-        repeated: came sooner after the previous one of their endpoint than an interval.
-        late: came later than allowed after the end of the interval, or not at all.
-        stale: were sent under an earlier epoch than one seen before.
-        max_lateness_seconds: of all checks, after the end of their intervals.
+        check_count: number of all health checks.
+        repeated: checks that followed the previous check of their endpoint within less than an interval.
+        late: checks that were later than allowed after the end of the interval, or missing.
+        stale: checks under an earlier epoch than a preceding check.
+        max_lateness_seconds: maximum delay of a check after the end of its interval.
     """
 
     check_count: int
@@ -64,13 +64,13 @@
     late_after_seconds: float,
     ended_at_seconds: float,
 ) -> HealthCheckAudit:
-    """Audit all health checks of endpoints that are to be checked once an interval.
+    """Audit the health checks of endpoints that must be checked once per interval.
 
     Args:
-        checks: as they were received.
-        interval_seconds: from one check of an endpoint to the next.
-        late_after_seconds: after the end of an interval, from which a check is late.
-        ended_at_seconds: end of the run; a check that was due and missing by then counts, too.
+        checks: received checks.
+        interval_seconds: interval of the checks of an endpoint.
+        late_after_seconds: delay after the end of the interval from which a check is late.
+        ended_at_seconds: end of the run; checks that are missing by then count as late, too.
     """
     audit = HealthCheckAudit(len(checks))
     latest_checks: dict[str, ObservedHealthCheck] = {}
@@ -79,13 +79,13 @@
         _audit_epoch(audit, check, latest_epochs)
         previous = latest_checks.get(check.endpoint)
         if previous is not None:
-            _audit_distance(audit, check, previous, interval_seconds, late_after_seconds)
+            _audit_interval(audit, check, previous, interval_seconds, late_after_seconds)
         latest_checks[check.endpoint] = check
     for check in latest_checks.values():
         elapsed_seconds = ended_at_seconds - check.received_at_seconds
         audit.max_lateness_seconds = max(audit.max_lateness_seconds, elapsed_seconds - interval_seconds)
         if elapsed_seconds > interval_seconds + late_after_seconds:
-            description = f"none within {elapsed_seconds:.3f} s after {check}"
+            description = f"no check within {elapsed_seconds:.3f} s after {check}"
             audit.late.append(HealthCheckViolation(check, description))
     return audit
 
@@ -97,18 +97,18 @@
     latest_epochs[check.role] = max(check.epoch, latest_epoch)
 
 
-def _audit_distance(
+def _audit_interval(
     audit: HealthCheckAudit,
     check: ObservedHealthCheck,
     previous: ObservedHealthCheck,
     interval_seconds: float,
     late_after_seconds: float,
 ) -> None:
-    distance_seconds = check.received_at_seconds - previous.received_at_seconds
-    longest_distance_seconds = distance_seconds + previous.held_up_seconds
-    violation = HealthCheckViolation(check, f"{check} {distance_seconds:.3f} s after {previous}")
-    if longest_distance_seconds < interval_seconds * (1.0 - EARLY_TOLERANCE):
+    elapsed_seconds = check.received_at_seconds - previous.received_at_seconds
+    max_elapsed_seconds = elapsed_seconds + previous.max_read_delay_seconds
+    violation = HealthCheckViolation(check, f"{check} {elapsed_seconds:.3f} s after {previous}")
+    if max_elapsed_seconds < interval_seconds * (1.0 - EARLY_TOLERANCE):
         audit.repeated.append(violation)
-    audit.max_lateness_seconds = max(audit.max_lateness_seconds, distance_seconds - interval_seconds)
-    if distance_seconds > interval_seconds + late_after_seconds:
+    audit.max_lateness_seconds = max(audit.max_lateness_seconds, elapsed_seconds - interval_seconds)
+    if elapsed_seconds > interval_seconds + late_after_seconds:
         audit.late.append(violation)
--- a/winchspan/fakes/inline_archiver.py
+++ b/winchspan/fakes/inline_archiver.py
@@ -13,11 +13,11 @@
 from winchspan.dead_letters.store_worker import StoreJob
 from winchspan.runtime.clock import Clock
 
-MAX_STORE_LATENCY_MS: Final = 20.0  # until the store begins a job, and again until its result is reported
+MAX_STORE_LATENCY_MS: Final = 20.0  # of the start of a job, and again of the report of its result
 
 
 class InlineArchiver(DeadLetterArchiver):
-    """Runs each job on timers, some time after it was queued: a courier can be killed before and after it."""
+    """Runs jobs on timers with random delays before and after, so that a kill may precede or follow a job."""
 
     def __init__(
         self,
@@ -30,9 +30,9 @@
         """Create an archiver.
 
         Args:
-            call_later: calls back after a delay in ms, unless the incarnation is over by then.
-            latencies: where the latencies of the store are drawn from.
-            settings: what is stored, and where.
+            call_later: calls back after a delay in ms, unless the incarnation has ended.
+            latencies: random numbers for the store's latencies.
+            settings: path and bounds of the store.
             platform: the platform's settings.
             clock: the courier's clock.
         """
@@ -60,6 +60,6 @@
         return self._latencies.uniform(0.0, MAX_STORE_LATENCY_MS)
 
     def stop(self) -> None:
-        """Close the store: the process has ended."""
+        """Close the store at the end of the incarnation."""
         self._close_store(self._store)
         self._store = None
--- a/winchspan/fakes/lease_world.py
+++ b/winchspan/fakes/lease_world.py
@@ -1,7 +1,7 @@
-"""Leased roles in virtual time: consensus, lease table and leases together, over drifting clocks.
+"""A simulated cluster with leased roles in virtual time, with consensus, lease tables and drifting clocks.
 
-Each holder acts on its roles every few ms as its lease allows at that moment, and its acts are checked from
-outside: two processes that may act on one role at the same true time violate the invariant.
+Each holder acts on its roles every few ms while its lease is valid. The simulation checks mutual exclusion:
+at no virtual time may two processes hold a valid lease of the same role.
 """
 
 from __future__ import annotations
@@ -26,31 +26,31 @@
 from winchspan.leases.messages import LeaseReleased, LeasesRenewed, ReleaseLease, RenewLeases
 from winchspan.leases.timing import LeaseTiming
 
-RENEWAL_INTERVAL_MS: Final = 100.0  # true time between two rounds of renewing and planning
-CHECK_INTERVAL_MS: Final = 5.0  # true time between two checks of who may act
+RENEWAL_INTERVAL_MS: Final = 100.0  # virtual time between two rounds of renewal and planning
+CHECK_INTERVAL_MS: Final = 5.0  # virtual time between two checks of the valid leases
 
 LeaseMessage = RenewLeases | LeasesRenewed | ReleaseLease | LeaseReleased
 
 
 @dataclass(slots=True)
 class NodeLeases:
-    """What a process knows of roles."""
+    """The lease state of a process."""
 
     holder: LeaseHolder
     table: LeaseTable = field(default_factory=LeaseTable)
     manager: LeaseManager | None = None
-    latest_expiry_at: float = 0.0  # of the leases that it has renewed
+    latest_expiry_at: float = 0.0  # of the leases that it has renewed as the leader
 
 
 class RoleHolder(NamedTuple):
-    """Who acted on a role last, and under which epoch."""
+    """The node that acted on a role last, and the epoch of its lease."""
 
     node_id: str
     epoch: int
 
 
 class RoleMove(NamedTuple):
-    """The first act of a role's new holder."""
+    """The first action of a role's new holder."""
 
     at_ms: float
     role: str
@@ -61,13 +61,13 @@
 class LeaseWorldOptions:
     """Bounds and faults of a simulated cluster with leases."""
 
-    max_clock_drift: float = 0.0  # clocks gain or lose up to so many seconds in a second, at random
+    max_clock_drift: float = 0.0  # maximum drift of each clock, in seconds per second; drawn at random
     timing: LeaseTiming = field(default_factory=LeaseTiming)
     network: NetworkFaults = field(default_factory=NetworkFaults)
 
 
 class LeaseWorld(ConsensusWorld):
-    """Nodes, roles, and their holders."""
+    """A Raft cluster whose nodes hold leases of roles."""
 
     def __init__(
         self,
@@ -76,12 +76,12 @@
         roles: tuple[str, ...],
         options: LeaseWorldOptions | None = None,
     ) -> None:
-        """Make a cluster.
+        """Create the cluster.
 
         Args:
-            node_ids: `name#incarnation` each.
-            seed: of all randomness.
-            roles: that are to have holders.
+            node_ids: ids of the nodes, in the form `name#incarnation`.
+            seed: of all random numbers.
+            roles: roles to assign.
             options: bounds and faults.
         """
         options = options or LeaseWorldOptions()
@@ -106,7 +106,7 @@
         self.call_later(0.0, self._check_and_act)
 
     def start(self, node_id: str) -> None:
-        """Start a process; it learns the roles from its snapshot and its log."""
+        """Start a process, which restores the leases from its snapshot and its log."""
         process_nonce = self.process_nonces.get(node_id, 0) + 1
         self.process_nonces[node_id] = process_nonce
         self.node_leases[node_id] = NodeLeases(LeaseHolder(node_id, process_nonce, self.lease_timing))
@@ -116,7 +116,7 @@
             self.node_leases[node_id].table.restore(snapshot.data)
 
     def live_nodes(self) -> dict[str, int]:
-        """Return the nodes that run and are not cut off, with their processes' nonces."""
+        """Return the process nonces by node, of the nodes that run and are not cut off from a majority."""
         half = len(self.nodes) / 2
         cut_off = {
             source
@@ -130,12 +130,12 @@
         }
 
     def compact_all(self) -> None:
-        """Replace what each running node has committed by a snapshot."""
+        """Replace the committed log entries of each running node by a snapshot."""
         for node in self.nodes.values():
             if node.is_running and not node.pending_writes:
                 self.compact(node, self.node_leases[node.node_id].table.encode_snapshot())
 
-    # ---- renewing and planning ---------------------------------------------------------------------------
+    # ---- renewal and planning ----------------------------------------------------------------------------
     def _renew_and_plan_all(self) -> None:
         self.call_later(RENEWAL_INTERVAL_MS, self._renew_and_plan_all)
         live_nodes = self.live_nodes()
@@ -169,7 +169,7 @@
         node = self.nodes[target]
         if node.raft is None:
             return
-        if node.unread is not None:  # it is read once the process continues
+        if node.unread is not None:  # the process reads it once it is resumed
             self.call_later(CHECK_INTERVAL_MS, lambda: self._receive_lease_message(target, source, message))
             return
         leases = self.node_leases[target]
@@ -194,9 +194,9 @@
         if reply is not None:
             self._send_lease_message(node.node_id, source, reply)
 
-    # ---- acting ------------------------------------------------------------------------------------------
+    # ---- actions -----------------------------------------------------------------------------------------
     def _check_and_act(self) -> None:
-        """Let each node that may act do so; a frozen one does not, but it may have decided before."""
+        """Check the valid leases, and let their holders act; a frozen holder counts, but does not act."""
         self.call_later(CHECK_INTERVAL_MS, self._check_and_act)
         for role in self.roles:
             epochs = {
@@ -232,7 +232,7 @@
             leases.holder.handle_reassigned(role, leases.table.leases[role])
 
     def execute(self, node: SimulatedNode, commands: list[RaftCommand]) -> None:
-        """Carry out a node's commands, and let its lease table and its lease manager follow them."""
+        """Execute a node's commands, and update its lease table and its lease manager."""
         for command in commands:
             super().execute(node, [command])
             if node.raft is None or node.node_id not in self.node_leases:
@@ -245,7 +245,7 @@
 
     def _change_leader(self, node: SimulatedNode, leases: NodeLeases, leader: str) -> None:
         if leases.manager is not None:
-            leases.latest_expiry_at = leases.manager.latest_expiry_at
+            leases.latest_expiry_at = leases.manager.latest_expiry_ms
         leases.manager = None
         if leader == node.node_id:
             leases.manager = LeaseManager(
--- a/winchspan/fakes/membership_world.py
+++ b/winchspan/fakes/membership_world.py
@@ -1,6 +1,6 @@
-"""A simulated SWIM cluster in virtual time, over a network that loses, delays, duplicates and is cut.
+"""A simulated SWIM cluster in virtual time, over a network that loses, delays and duplicates datagrams.
 
-The state machines are those of a courier; only the transport of their datagrams is simulated.
+The nodes run the courier's own state machines. Only the transport of the datagrams is simulated.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 from winchspan.membership.messages import Datagram, NodeState
 from winchspan.membership.swim import Swim
 
-MAX_UNREAD_DATAGRAMS: Final = 200  # that the socket of a frozen node buffers; later ones are lost
-NONCES_PER_NODE: Final = 1_000  # a process nonce is the node's number times this, plus its start's number
-LEAVE_DURATION_MS: Final = 50.0  # from a graceful leave to the end of the process
+MAX_UNREAD_DATAGRAMS: Final = 200  # buffered by the socket of a frozen node; further ones are lost
+NONCES_PER_NODE: Final = 1_000  # process nonce: this times the node's number, plus the number of starts
+LEAVE_DURATION_MS: Final = 50.0  # from a graceful leave to the exit of the process
 MEAN_DELAY_MS: Final = 1.0
 
 
 class MembershipEvent(NamedTuple):
-    """An event that a node has reported."""
+    """An event that a node reported."""
 
     at_ms: float
     observer: str
@@ -44,22 +44,22 @@
 
 @dataclass(slots=True)
 class SimulatedMember:
-    """A node: its process, if one runs, and the datagrams that it has not read while frozen."""
+    """A node: its process if it runs, and the unread datagrams of a frozen process."""
 
     name: str
     swim: Swim | None = None
-    max_lateness_ms: float = 0.0  # of a slow node's ticks and reads, drawn uniformly
+    max_lateness_ms: float = 0.0  # upper bound of random delays of ticks and reads; for slow nodes
     unread: list[Datagram] | None = None  # None unless it is frozen
     start_count: int = 0
 
     @property
     def is_frozen(self) -> bool:
-        """Whether the process is stopped without having ended."""
+        """Whether the process is frozen."""
         return self.unread is not None
 
 
 class MembershipWorld(VirtualTimeWorld):
-    """The nodes of a cluster, their network and their time."""
+    """The nodes of a SWIM cluster with their network and timers."""
 
     def __init__(
         self,
@@ -68,13 +68,13 @@
         network: NetworkFaults | None = None,
         timing: SwimTiming | None = None,
     ) -> None:
-        """Make the nodes `n0` and on; none is started.
+        """Create the nodes `n0`, `n1`, ... without starting them.
 
         Args:
             size: number of nodes.
-            seed: of all randomness.
-            network: its faults; a good one by default.
-            timing: of the nodes.
+            seed: of all random numbers.
+            network: faults of the network; none but a small delay by default.
+            timing: SWIM timing of the nodes.
         """
         super().__init__(seed, network or NetworkFaults(delay_ms=MEAN_DELAY_MS))
         self.timing = timing or SwimTiming()
@@ -83,11 +83,11 @@
         self.sent_counts: Counter[str] = Counter()  # datagrams, by source
         self.sent_bytes = 0
         self.datagram_size: Callable[[Datagram], int] = lambda datagram: 0
-        self._tick_at_ms: dict[str, float] = {}  # of the armed timers
+        self._tick_at_ms: dict[str, float] = {}  # of the armed timers, by node; negative without one
 
     # ---- faults and requests of the test -----------------------------------------------------------------
     def start(self, name: str) -> None:
-        """Start a process of a node, with a new nonce."""
+        """Start the process of a node with a new nonce."""
         member = self.members[name]
         member.start_count += 1
         member.unread = None
@@ -97,21 +97,21 @@
         self._arm_timer(member)
 
     def start_all(self) -> None:
-        """Start all nodes, each at a random time within a probe interval."""
+        """Start all nodes, each after a random delay of at most a probe interval."""
         for name in self.members:
             delay_ms = self.rng.uniform(0.0, self.timing.probe_interval_ms)
             self.call_later(delay_ms, partial(self.start, name))
 
     def kill(self, name: str) -> None:
-        """End a process."""
+        """Kill a process."""
         self.members[name].swim = None
 
     def freeze(self, name: str) -> None:
-        """Stop a process without ending it."""
+        """Freeze a process, as SIGSTOP does."""
         self.members[name].unread = []
 
     def thaw(self, name: str) -> None:
-        """Let a frozen process continue: it reads its datagrams first, and then runs its timers."""
+        """Resume a frozen process, which first reads its datagrams and then runs its timers."""
         member = self.members[name]
         unread = member.unread or []
         member.unread = None
@@ -120,18 +120,18 @@
         self._arm_timer(member)
 
     def leave(self, name: str) -> None:
-        """Let a node leave gracefully; its process ends a moment later."""
+        """Let a node leave gracefully; its process exits after `LEAVE_DURATION_MS`."""
         member = self.members[name]
         if member.swim is not None:
             self.execute(member, member.swim.leave(self.now))
             self.call_later(LEAVE_DURATION_MS, lambda: self.kill(name))
 
     def cut(self, source: str, target: str) -> None:
-        """Cut a link in one direction."""
+        """Drop all traffic in one direction of a link."""
         self.cut_links.add((source, target))
 
     def partition(self, names: set[str]) -> None:
-        """Cut some nodes off from the rest, both ways."""
+        """Partition some nodes from the others, in both directions."""
         self.cut_links |= {
             (source, target)
             for source in self.members
@@ -143,22 +143,22 @@
         """Restore all links."""
         self.cut_links.clear()
 
-    # ---- what the nodes believe --------------------------------------------------------------------------
+    # ---- membership views of the nodes -------------------------------------------------------------------
     def state_seen_by(self, observer: str, name: str) -> NodeState | None:
-        """Return the state that a running node believes another to be in."""
+        """Return the state of a node in the membership list of a running node."""
         swim = self.members[observer].swim
         assert swim is not None
         return swim.records[name].state
 
     def is_seen_by_all(self, name: str, state: NodeState) -> bool:
-        """Return whether every other running node believes one to be in a state."""
+        """Return whether a node has the given state in the membership lists of all other running nodes."""
         return all(
             member.swim is None or member.name == name or member.swim.records[name].state is state
             for member in self.members.values()
         )
 
     def is_converged(self) -> bool:
-        """Return whether all running nodes believe exactly the running nodes to be alive."""
+        """Return whether exactly the running nodes are alive in the membership lists of all running nodes."""
         running = {member.name for member in self.members.values() if member.swim is not None}
         return all(
             name == member.name or (record.state is NodeState.ALIVE) == (name in running)
@@ -170,7 +170,7 @@
     def state_changes(
         self, state: NodeState, name: str | None = None, since_ms: float = 0.0
     ) -> list[MembershipEvent]:
-        """Return the reported changes into a state, of one node or of all, since a time."""
+        """Return the reported changes to a state since a time, of one node or of all nodes."""
         return [
             reported
             for reported in self.events
@@ -182,7 +182,7 @@
 
     # ---- timers and commands -----------------------------------------------------------------------------
     def _arm_timer(self, member: SimulatedMember) -> None:
-        """Arm a node's timer anew, if its machine wants an earlier tick; a slow node's timer is late."""
+        """Rearm a node's timer if its state machine needs an earlier tick; a slow node's timer is late."""
         if member.swim is None or member.is_frozen:
             return
         due_at = max(self.now, member.swim.next_tick_ms)
@@ -206,7 +206,7 @@
         self._arm_timer(member)
 
     def execute(self, member: SimulatedMember, actions: list[Action]) -> None:
-        """Carry out what a node's machine asks for."""
+        """Execute the actions of a node's state machine."""
         for action in actions:
             if isinstance(action, SendDatagram):
                 self.send(member.name, action.recipient, action.datagram)
@@ -233,6 +233,6 @@
             member.unread.append(datagram)
 
     def handle_datagram(self, member: SimulatedMember, datagram: Datagram) -> None:
-        """Let a node's process, if one runs, read a datagram."""
+        """Pass a datagram to a node's process, if it runs."""
         if member.swim is not None:
             self.execute(member, member.swim.handle_datagram(self.now, datagram))
