--- a/winchspan/fakes/partner.py
+++ b/winchspan/fakes/partner.py
@@ -1,6 +1,6 @@
-"""A fake partner: its capacity, queue, listed rate, outages, slow start, and collapse when it is overloaded.
+"""A fake partner with a capacity, a queue, a listed rate, outages, a slow start, and collapse under overload.
 
-The model does no I/O. It is driven by a clock and timers; a transport passes calls to `Partner.receive_call`.
+The model does no I/O. A clock and timers drive it, and a transport passes calls to `Partner.receive_call`.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from winchspan.runtime.timers import Timer, TimerQueue
 
 SECOND_MS: Final = 1_000.0
-LONG_AGO_MS: Final = 1e12  # before the run began: a partner that has not had an outage is warm
+LONG_AGO_MS: Final = 1e12  # age of the last outage at the start of a run: the partner is warm
 
 
-class Mode(Enum):
-    """What a partner does with calls during an outage."""
+class OutageMode(Enum):
+    """How a partner handles calls during an outage."""
 
     SILENT = "silent"  # accepts them and never answers
     REFUSING = "refusing"  # answers 503 at once
@@ -33,11 +33,11 @@
 
     OK = "ok"
     FULL = "full"
-    DOWN = "down"  # no connection
+    DOWN = "down"  # the connection fails
 
 
-Answer = Callable[[Reply, float], None]
-"""Called with the reply and the wait in ms that it names (0: none)."""
+ReplyCallback = Callable[[Reply, float], None]
+"""Receives the reply, and the wait in ms that it names (0: no wait)."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,69 +46,69 @@
 
     begin: float
     end: float
-    mode: Mode = Mode.SILENT
+    mode: OutageMode = OutageMode.SILENT
 
 
 @dataclass(frozen=True, slots=True)
 class PartnerSettings:
-    """A partner's parameters; times in ms, rates in calls a second.
+    """Parameters of a partner; times in ms, rates in calls per second.
 
     The field names are part of the addresses under which the results of experiments are stored.
     """
 
     number: int = 7
-    listed: float = 20.0  # the rate in the endpoint list
-    actual: float = 0.0  # the rate that it accepts; 0: as listed. Above it: 429
-    capacity: float = 24.0  # calls a second that it completes when warm
+    listed: float = 20.0  # rate in the endpoint list
+    actual: float = 0.0  # rate that the partner accepts; 0: the listed rate. Calls above it are answered 429
+    capacity: float = 24.0  # completed calls per second when warm
     service: float = 200.0  # duration of a call when warm
-    queue: int = 24  # calls that wait for a worker; more are answered 503
+    queue: int = 24  # maximum number of calls that wait for a worker; further ones are answered 503
     outages: tuple[Outage, ...] = ()
     cold: float = 14_000.0  # duration of its slow start
-    start: float = 1 / 3  # share of the capacity at the begin of the slow start
-    fall_multiple: float = 2.0  # load, in multiples of its present capacity, under which it collapses
-    tip_after: float = 2_000.0  # how long that load lasts until it collapses
-    fall_for: float = 15_000.0  # how long it is down after a collapse
+    start: float = 1 / 3  # share of the capacity at the start of the slow start
+    fall_multiple: float = 2.0  # load at which it collapses, as a multiple of its present capacity
+    tip_after: float = 2_000.0  # duration of that load until the collapse
+    fall_for: float = 15_000.0  # duration of the outage after a collapse
     tells_wait: bool = False  # whether a 429 names the time until the oldest call leaves the rate's window
 
 
 @dataclass(slots=True)
 class _Call:
-    """A call that the partner has accepted."""
+    """A call in the partner's queue or in progress."""
 
-    answer: Answer
+    on_reply: ReplyCallback
     completion: Timer | None = None
 
 
 @dataclass(slots=True)
-class Seen:
-    """What a partner observed, for audits: times in ms of the run's clock."""
+class PartnerObservations:
+    """Times of events at a partner, for audits, by the run's clock."""
 
-    calls: list[float] = field(default_factory=list)
-    refused: list[float] = field(default_factory=list)
-    falls: list[float] = field(default_factory=list)
-    returns: list[float] = field(default_factory=list)
+    call_times_ms: list[float] = field(default_factory=list)
+    rejection_times_ms: list[float] = field(default_factory=list)
+    collapse_times_ms: list[float] = field(default_factory=list)
+    recovery_times_ms: list[float] = field(default_factory=list)
 
 
 class Partner:
-    """One partner; each call is answered once, later, or never while the partner is silent."""
+    """A partner, which answers each call at most once, and possibly later; a silent one never answers."""
 
     def __init__(self, settings: PartnerSettings, clock: Clock, timers: TimerQueue) -> None:
         self.settings = settings
-        self.seen = Seen()
+        self.observations = PartnerObservations()
         self._clock = clock
         self._timers = timers
-        self._outage_mode: Mode | None = None
+        self._outage_mode: OutageMode | None = None
         self._last_return_at = -LONG_AGO_MS
         self._queue: deque[_Call] = deque()
         self._running: list[_Call] = []
-        self._hanging: list[_Call] = []  # accepted during an outage that answers them at its end
-        self._recent_accepted: deque[float] = deque()  # times of calls accepted within the last second
-        self._recent_received: deque[float] = deque()  # times of all calls within `tip_after`
+        self._hanging: list[_Call] = []  # calls that are answered at the end of the outage
+        self._recent_accepted: deque[float] = deque()  # times of accepted calls within the last second
+        self._recent_received: deque[float] = deque()  # times of all calls within the last `tip_after` ms
         self._outage_end: Timer | None = None
         self.schedule_outages(settings.outages)
 
     def schedule_outages(self, outages: tuple[Outage, ...]) -> None:
-        """Schedule outages; their times count from now."""
+        """Schedule outages, whose times are relative to now."""
         self.settings = replace(self.settings, outages=outages)
         start = self._clock.now()
         for outage in outages:
@@ -116,34 +116,34 @@
             self._timers.call_at(start + outage.begin, begin_outage)
 
     @property
-    def outage_mode(self) -> Mode | None:
-        """The kind of outage that the partner is in, if any."""
+    def outage_mode(self) -> OutageMode | None:
+        """Kind of the present outage; None without an outage."""
         return self._outage_mode
 
     def capacity_ratio(self) -> float:
-        """Return the share of its capacity that the partner has now: below 1 during its slow start."""
-        warmed_up = (self._clock.now() - self._last_return_at) / self.settings.cold
-        return min(1.0, self.settings.start + (1.0 - self.settings.start) * warmed_up)
+        """Return the present share of the full capacity: less than 1 during the slow start."""
+        warm_up_ratio = (self._clock.now() - self._last_return_at) / self.settings.cold
+        return min(1.0, self.settings.start + (1.0 - self.settings.start) * warm_up_ratio)
 
-    def receive_call(self, answer: Answer) -> Callable[[], None]:
+    def receive_call(self, on_reply: ReplyCallback) -> Callable[[], None]:
         """Receive a call.
 
         Args:
-            answer: called with the reply, possibly at once.
+            on_reply: is called with the reply, possibly before this method returns.
 
         Returns:
             A function that cancels the call if it still waits for a worker.
         """
         now = self._clock.now()
-        call = _Call(answer)
-        if self._outage_mode is Mode.DOWN:
-            answer(Reply.DOWN, 0.0)
+        call = _Call(on_reply)
+        if self._outage_mode is OutageMode.DOWN:
+            on_reply(Reply.DOWN, 0.0)
             return lambda: None
-        self.seen.calls.append(now)
+        self.observations.call_times_ms.append(now)
         self._detect_collapse(now)
-        if self._outage_mode is Mode.REFUSING:
+        if self._outage_mode is OutageMode.REFUSING:
             self._reject(call, 0.0)
-        elif self._outage_mode is Mode.HANGING:
+        elif self._outage_mode is OutageMode.HANGING:
             self._hanging.append(call)
         elif self._outage_mode is None:
             self._accept_or_reject(call, now)
@@ -154,27 +154,27 @@
             self._queue.remove(call)
 
     def _detect_collapse(self, now: float) -> None:
-        """Record a call; too many for too long during the slow start make the partner collapse."""
+        """Record a call, and collapse if the load during the slow start is too high for too long."""
         settings = self.settings
         self._recent_received.append(now)
         while self._recent_received[0] <= now - settings.tip_after:
             self._recent_received.popleft()
-        is_warming_up = now - self._last_return_at < settings.cold
-        if self._outage_mode is not None or not is_warming_up:
+        is_in_slow_start = now - self._last_return_at < settings.cold
+        if self._outage_mode is not None or not is_in_slow_start:
             return
         limit_rate = settings.fall_multiple * self.capacity_ratio() * settings.capacity
         limit_count = limit_rate * settings.tip_after / SECOND_MS
         received_count = sum(1 for at in self._recent_received if at >= self._last_return_at)
         if received_count > limit_count + 1:
-            self.seen.falls.append(now)
-            self._begin_outage(Mode.SILENT, settings.fall_for)
+            self.observations.collapse_times_ms.append(now)
+            self._begin_outage(OutageMode.SILENT, settings.fall_for)
 
     def _accept_or_reject(self, call: _Call, now: float) -> None:
         recent = self._recent_accepted
         while recent and recent[0] <= now - SECOND_MS:
             recent.popleft()
         rate = self.settings.actual or self.settings.listed
-        # One call more than the rate: it may be no whole number, and the latency of calls may vary by one.
+        # Accept one call more than the rate, which may be fractional, and since call latencies vary.
         if len(recent) >= rate + 1:
             wait_ms = recent[0] + SECOND_MS - now if self.settings.tells_wait else 0.0
             self._reject(call, wait_ms)
@@ -186,11 +186,11 @@
             self._start_queued_calls()
 
     def _reject(self, call: _Call, wait_ms: float) -> None:
-        self.seen.refused.append(self._clock.now())
-        call.answer(Reply.FULL, wait_ms)
+        self.observations.rejection_times_ms.append(self._clock.now())
+        call.on_reply(Reply.FULL, wait_ms)
 
     def _start_queued_calls(self) -> None:
-        """Start as many calls as there are free workers; during the slow start each takes longer."""
+        """Start queued calls on free workers; calls take longer during the slow start."""
         worker_count = max(1, round(self.settings.capacity * self.settings.service / SECOND_MS))
         while self._queue and len(self._running) < worker_count:
             call = self._queue.popleft()
@@ -200,15 +200,15 @@
 
     def _complete(self, call: _Call) -> None:
         self._running.remove(call)
-        call.answer(Reply.OK, 0.0)
+        call.on_reply(Reply.OK, 0.0)
         self._start_queued_calls()
 
-    def _begin_outage(self, mode: Mode, duration_ms: float) -> None:
-        """Begin an outage: calls in progress are lost, or answered at its end if the partner hangs."""
+    def _begin_outage(self, mode: OutageMode, duration_ms: float) -> None:
+        """Begin an outage: calls in progress are dropped, or answered at its end in mode `HANGING`."""
         for call in [*self._running, *self._queue]:
             if call.completion is not None:
                 call.completion.cancel()
-            if mode is Mode.HANGING:
+            if mode is OutageMode.HANGING:
                 self._hanging.append(call)
         self._running = []
         self._queue = deque()
@@ -223,8 +223,8 @@
         self._last_return_at = self._clock.now()
         self._recent_received.clear()
         self._recent_accepted.clear()
-        self.seen.returns.append(self._last_return_at)
+        self.observations.recovery_times_ms.append(self._last_return_at)
         hanging = self._hanging
         self._hanging = []
         for call in hanging:
-            call.answer(Reply.OK, 0.0)
+            call.on_reply(Reply.OK, 0.0)
--- a/winchspan/fakes/partner_endpoint.py
+++ b/winchspan/fakes/partner_endpoint.py
@@ -1,4 +1,4 @@
-"""An HTTP endpoint of a fake partner: single deliveries and batches."""
+"""An HTTP endpoint of a fake partner, for calls with one message or a batch."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from typing import Any, Final, NamedTuple
 
 from winchspan.fakes.clients import Clients
-from winchspan.fakes.partner import Mode, Partner, Reply
+from winchspan.fakes.partner import OutageMode, Partner, Reply
 from winchspan.fakes.sockets import Request, Server, answer, read_request
 
 SINGLE_PATH: Final = "/hook"
@@ -32,7 +32,7 @@
 
 
 class _InvalidCallError(Exception):
-    """A request that is no call; it is answered with `status`."""
+    """The request is not a valid call, and is answered with `status`."""
 
     def __init__(self, status: int) -> None:
         super().__init__(f"invalid call: answered with {status}")
@@ -40,8 +40,8 @@
 
 
 def _is_peer_closed(writer: asyncio.StreamWriter) -> bool:
-    """Return whether an answer reaches nobody: a machine without power does not say that it is off."""
-    is_closed = writer.get_extra_info("peer_closed")  # None: a real connection, which can't know
+    """Return whether the peer is gone: a machine that loses power does not close its connections."""
+    is_closed = writer.get_extra_info("peer_closed")  # None on a real connection, which cannot detect it
     return is_closed is not None and bool(is_closed())
 
 
@@ -62,9 +62,9 @@
     """One endpoint of a partner.
 
     Attributes:
-        partner: who executes the calls.
-        clients: who is told of executions and deliveries.
-        server: the listening socket.
+        partner: executes the calls.
+        clients: receive the events of executions and deliveries.
+        server: listens for calls.
     """
 
     def __init__(self, partner: Partner, clients: Clients, show: Callable[[str], None]) -> None:
@@ -76,7 +76,7 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while (request := await read_request(reader)) is not None:
-            if self.partner.outage_mode is Mode.DOWN:
+            if self.partner.outage_mode is OutageMode.DOWN:
                 writer.transport.abort()
                 return
             try:
@@ -120,7 +120,7 @@
                 replied.set_result(_PartnerReply(reply, wait_ms))
 
         cancel_call = self.partner.receive_call(on_reply)
-        # Nothing but the end of the connection is read while a call is in flight.
+        # A courier sends nothing while its call is in flight: only the end of the connection can be read.
         closed = asyncio.ensure_future(reader.read(1))
         both: list[asyncio.Future[Any]] = [replied, closed]
         try:
--- a/winchspan/fakes/platform.py
+++ b/winchspan/fakes/platform.py
@@ -1,4 +1,4 @@
-"""A typical platform: its settings as the scheduler has them, and as a courier's configuration holds them."""
+"""Settings of a typical platform, as `api.Settings` and in the wire format of a courier's configuration."""
 
 from __future__ import annotations
 
@@ -8,9 +8,13 @@
 from winchspan import api
 
 SECOND_NS: Final = 1_000_000_000
-KIND: Final = "mid-host"  # of all endpoints
-_EFFECTS = {api.Effect.REPEATABLE: "repeatable", api.Effect.KEYED: "by_key", api.Effect.ONCE: "once"}
-_RATES = {api.ListedRate.NONE: "none", api.ListedRate.EXACT: "nominal", api.ListedRate.APPROXIMATE: "rough"}
+ENDPOINT_KIND: Final = "mid-host"  # kind of all fake endpoints
+_EFFECT_NAMES = {api.Effect.REPEATABLE: "repeatable", api.Effect.KEYED: "by_key", api.Effect.ONCE: "once"}
+_LISTED_RATE_NAMES = {
+    api.ListedRate.NONE: "none",
+    api.ListedRate.EXACT: "nominal",
+    api.ListedRate.APPROXIMATE: "rough",
+}
 
 
 def _message_classes() -> dict[str, api.MessageClass]:
@@ -39,9 +43,9 @@
     """Return the settings of a typical platform.
 
     Args:
-        couriers: how many couriers there are.
-        me: the number of the courier whose settings they are.
-        changes: fields of the settings that differ.
+        couriers: number of couriers.
+        me: number of the courier that gets the settings.
+        changes: fields that differ from the typical settings.
     """
     typical = api.Settings(
         classes=_message_classes(),
@@ -53,7 +57,7 @@
         listed_rate=api.ListedRate.EXACT,
         max_attempts=6,
         can_cancel=True,
-        kinds={KIND: api.DestinationKind()},
+        kinds={ENDPOINT_KIND: api.DestinationKind()},
         max_retry_after_ns=2 * SECOND_NS,
         keepalive_ns=10 * SECOND_NS,
         answer_grace_ns=20_000_000,
@@ -65,7 +69,7 @@
         tip_after_ns=2 * SECOND_NS,
         key_rest_ns=300_000_000,
     )
-    return replace(typical, **changes)  # type: ignore[arg-type]  # the caller names fields with their types
+    return replace(typical, **changes)  # type: ignore[arg-type]  # callers pass fields with valid types
 
 
 def _class_to_wire(message_class: api.MessageClass) -> dict[str, Any]:
@@ -75,7 +79,7 @@
         "goal_time_ns": message_class.latency_objective_ns,
         "hard_limit_ns": message_class.deadline_ns,
         "late_worth": message_class.late_worth,
-        "idempotency": _EFFECTS[message_class.effect],
+        "idempotency": _EFFECT_NAMES[message_class.effect],
         "window_ns": message_class.dedup_ns,
         "group": "zone" if message_class.dedup_per_zone else "all",
         "in_order": message_class.ordered,
@@ -120,7 +124,7 @@
     }
 
 
-def wire(settings: api.Settings) -> dict[str, Any]:
+def settings_to_wire(settings: api.Settings) -> dict[str, Any]:
     """Return the settings object of a configuration: the inverse of `config.settings.settings_from_wire`."""
     return {
         "balancers": settings.senders,
@@ -128,9 +132,9 @@
         "zone": settings.zone,
         "kinds": list(settings.kinds),
         "failure_domains": list(settings.zone_fees),
-        "weights": _RATES[settings.listed_rate],
+        "weights": _LISTED_RATE_NAMES[settings.listed_rate],
         "step_ns": settings.step_ns,
-        "request_classes": [_class_to_wire(each) for each in settings.classes.values()],
+        "request_classes": [_class_to_wire(message_class) for message_class in settings.classes.values()],
         "over_share_worth": settings.over_share_worth,
         "discovery": "ask" if settings.must_subscribe else "push",
         "load_report": {"how": "answers" if settings.responses_report_load else "none"},
--- a/winchspan/fakes/ports.py
+++ b/winchspan/fakes/ports.py
@@ -1,8 +1,8 @@
-"""Ports on loopback for the processes of a test or rehearsal, which no other run on this machine is given.
+"""Allocates loopback ports to the processes of a test run or rehearsal, exclusively on this machine.
 
-A process that is started again listens on the port that it had, and nobody else may have taken that port
-meanwhile. The ports are divided into blocks. A run claims a block by a lock on a file, which the system
-releases when the run ends, however it ends.
+A restarted process listens on its previous port, so no other process may take that port in between. The ports
+are divided into blocks. A run claims a block with a file lock, which the system releases when the run ends
+for any reason.
 """
 
 from __future__ import annotations
@@ -20,33 +20,33 @@
 
 
 class PortRange(NamedTuple):
-    """Ports from `first` to before `end`."""
+    """The ports from `first` up to, but not including, `end`."""
 
     first: int
     end: int
 
 
-# Below the ports that the system gives to outgoing connections: one of those could take a port of ours
-# before it is listened on.
+# Below the system's range for outgoing connections, which could take an allocated port before its process
+# listens on it.
 ALL_PORTS: Final = PortRange(20_000, 32_000)
 
 
 class NoFreePortError(Exception):
-    """All ports are claimed by runs on this machine, or taken by others."""
+    """All ports are claimed by other runs on this machine, or in use."""
 
 
 class PortAllocator:
-    """Hands out ports of blocks that are claimed for this process.
+    """Allocates ports from blocks that this process has claimed.
 
-    A port is handed out again only after all others of the claimed blocks.
+    A port is reused only after all other ports of the claimed blocks.
     """
 
     def __init__(self, ports: PortRange = ALL_PORTS, lock_directory: Path = LOCK_DIRECTORY) -> None:
-        """Claim nothing yet.
+        """Create an allocator without a claimed block.
 
         Args:
-            ports: those that all processes with this lock directory share.
-            lock_directory: holds one lock file for each block.
+            ports: shared by all processes with the same lock directory.
+            lock_directory: holds one lock file per block.
         """
         self._unclaimed = [
             PortRange(first, min(first + BLOCK_SIZE, ports.end))
@@ -54,13 +54,13 @@
         ]
         self._lock_directory = lock_directory
         self._locks: list[IO[bytes]] = []
-        self._ports: list[int] = []  # claimed; the next one to hand out comes first
+        self._ports: list[int] = []  # ports of the claimed blocks, least recently allocated first
 
     def allocate(self, count: int) -> list[int]:
-        """Return different ports that nobody listens on, for TCP and UDP.
+        """Return distinct ports that are free for TCP and UDP.
 
         Raises:
-            NoFreePortError: there are not so many.
+            NoFreePortError: fewer ports are free.
         """
         while True:
             found = list(islice((port for port in self._ports if _is_free(port)), count))
@@ -71,14 +71,14 @@
         return found
 
     def close(self) -> None:
-        """Give up all blocks."""
+        """Release all claimed blocks."""
         self._ports.clear()
         for lock in self._locks:
             lock.close()
         self._locks.clear()
 
     def _claim_block(self) -> None:
-        """Claim the first block that no other process has."""
+        """Claim the first block that no other process holds."""
         self._lock_directory.mkdir(mode=0o777, exist_ok=True)
         while self._unclaimed:
             block = self._unclaimed.pop(0)
@@ -91,17 +91,17 @@
             self._locks.append(lock)
             self._ports.extend(range(*block))
             return
-        raise NoFreePortError("all blocks of ports are claimed by runs on this machine, or taken")
+        raise NoFreePortError("all blocks of ports are claimed by runs on this machine, or in use")
 
 
 _allocator = PortAllocator()
 
 
 def free_ports(count: int) -> list[int]:
-    """Return different ports that no other process of a run is given, for TCP and UDP.
+    """Return distinct ports, free for TCP and UDP, that no other process is given.
 
     Raises:
-        NoFreePortError: there are not so many.
+        NoFreePortError: fewer ports are free.
     """
     return _allocator.allocate(count)
 
--- a/winchspan/fakes/recording_endpoints.py
+++ b/winchspan/fakes/recording_endpoints.py
@@ -1,7 +1,7 @@
-"""Endpoints of fake partners that record what they receive, and the platform's agent for notifications.
+"""Endpoints of fake partners that record received calls, and the platform's agent for notifications.
 
-They serve couriers, real or simulated, and hold calls or notifications back where a test wants it. Tests and
-audits read the records, so that they rely on nothing that couriers report of themselves.
+They serve real and simulated couriers, and can delay calls and notifications. Tests and audits read these
+records, so that they do not depend on the couriers' own reports.
 """
 
 from __future__ import annotations
@@ -17,41 +17,41 @@
 from functools import partial
 from typing import Final, NamedTuple
 
+from winchspan.fakes.event_loop_stall_monitor import EventLoopStallMonitor
 from winchspan.fakes.health_check_audit import ObservedHealthCheck
-from winchspan.fakes.hold_up_monitor import HoldUpMonitor
-from winchspan.fakes.platform import KIND
+from winchspan.fakes.platform import ENDPOINT_KIND
 from winchspan.fakes.ports import HOST
 from winchspan.fakes.sockets import Request, Server, answer, read_request
 
-POLL_INTERVAL_SECONDS: Final = 0.01  # between two checks of whether a held call may be answered
+POLL_INTERVAL_SECONDS: Final = 0.01  # between two checks whether a held call is released
 START_TIMEOUT_SECONDS: Final = 30.0
 CLOSE_TIMEOUT_SECONDS: Final = 10.0
-CONNECTIONS_END_SECONDS: Final = 0.05  # in which the served connections see their end
+CONNECTIONS_END_SECONDS: Final = 0.05  # time for the open connections to close
 
 
 class FinalAnswer(Enum):
-    """How a message ended."""
+    """The final answer that a message got."""
 
     DELIVERED = auto()
     NOTIFIED = auto()
 
 
 class FakeResponse(NamedTuple):
-    """An HTTP response that an endpoint gives."""
+    """An HTTP response of an endpoint."""
 
     status: int
     headers: tuple[tuple[str, str], ...] = ()
 
 
 class MessageCall(NamedTuple):
-    """A call with messages that an endpoint has answered."""
+    """A call with messages that an endpoint answered."""
 
     answered_at_seconds: float
     endpoint: str
 
 
 class DeliveryStart(NamedTuple):
-    """The moment at which an endpoint began with a message of a call that takes time."""
+    """The start of the execution of a message, in a call that is held or takes time."""
 
     at_seconds: float
     message_id: str
@@ -76,36 +76,36 @@
 
 
 class RecordingEndpoints:
-    """Some destinations with one endpoint each, on the running event loop.
+    """Destinations with one endpoint each, on the running event loop.
 
     Attributes:
-        ports: of the endpoints, by name.
-        agent_port: where notifications are received; there is no discovery watch.
-        responses: that endpoints give instead of 200, by name.
-        service_seconds: that a call with messages takes; 0 for an immediate answer.
-        holds_notifications: whether notifications are read, and not acknowledged for now.
-        health_checks: as received.
-        calls: with messages, as answered.
-        delivery_starts: of messages in calls that took time or were held.
-        delivery_counts: how often a message was answered 200.
-        first_delivered_at_seconds: when a message was first answered 200.
-        read_notification_counts: notifications of a message that were read.
-        notification_counts: those that were acknowledged.
-        first_final_answers: how a message ended first.
-        concurrent_message_ids: messages of which two calls were in flight together.
-        concurrent_tokens: tokens of which two calls were, whatever the messages' ids.
-        max_messages_per_call: of calls that took time or were held.
+        ports: ports of the endpoints, by endpoint name.
+        agent_port: port for notifications; there is no discovery watch.
+        responses: responses other than 200, by endpoint name.
+        service_seconds: duration of a call with messages; 0 for an immediate answer.
+        holds_notifications: whether the agent delays the acknowledgement of notifications.
+        health_checks: received health checks.
+        calls: answered calls with messages.
+        delivery_starts: messages in calls that were held or took time.
+        delivery_counts: number of answers 200, by message id.
+        first_delivered_at_seconds: time of the first answer 200, by message id.
+        read_notification_counts: number of received notifications, by message id.
+        notification_counts: number of acknowledged notifications, by message id.
+        first_final_answers: first final answer, by message id.
+        concurrent_message_ids: ids of messages that were in two calls at the same time.
+        concurrent_tokens: tokens that were in two calls at the same time, under any message ids.
+        max_messages_per_call: maximum over the calls that were held or took time.
     """
 
     def __init__(
         self, count: int, calls_per_second: float, clock: Callable[[], float] = time.monotonic
     ) -> None:
-        """Make the endpoints; `start` opens them.
+        """Create the endpoints; `start` opens them.
 
         Args:
             count: number of destinations.
-            calls_per_second: that the endpoint list gives each endpoint, from all couriers together.
-            clock: of the records, in seconds.
+            calls_per_second: listed rate of each endpoint, for all couriers together.
+            clock: time of the records, in seconds.
         """
         self._count = count
         self._calls_per_second = calls_per_second
@@ -144,23 +144,23 @@
             server.close()
 
     def hold_calls(self, *names: str) -> None:
-        """Answer no call with messages at these endpoints until `release_calls`."""
+        """Hold the answers to calls with messages at these endpoints until `release_calls`."""
         self._held_endpoints = set(names)
 
     def release_calls(self) -> None:
-        """Answer all calls that are held."""
+        """Answer all held calls."""
         self._held_endpoints = set()
 
     def has_in_flight(self, message_ids: Iterable[str]) -> bool:
-        """Return whether a call with one of these messages is held or takes time."""
+        """Return whether a held or slow call with one of these messages is in flight."""
         return any(self._messages_in_flight[message_id] > 0 for message_id in message_ids)
 
     def has_final_answer(self, message_id: str) -> bool:
-        """Return whether a message has been delivered, or its notification acknowledged."""
+        """Return whether a message was delivered, or its notification acknowledged."""
         return self.delivery_counts[message_id] > 0 or self.notification_counts[message_id] > 0
 
     def delivered_after_notification(self, message_ids: Iterable[str]) -> list[str]:
-        """Return those of some messages that were delivered after a notification had ended them."""
+        """Return the ids of the messages that were delivered after their notification."""
         return [
             message_id
             for message_id in message_ids
@@ -169,7 +169,11 @@
         ]
 
     def endpoint_list(self, draining: Collection[str] = ()) -> dict[str, object]:
-        """Return the full snapshot of the endpoints as discovery sends it; some are draining."""
+        """Return a full snapshot of the endpoint list in the wire format of discovery.
+
+        Args:
+            draining: names of the endpoints with health `draining`.
+        """
         return {
             "seq": 1,
             "whole": True,
@@ -178,7 +182,7 @@
                     "host": name,
                     "dial": f"{HOST}:{port}",
                     "site": "a",
-                    "class": KIND,
+                    "class": ENDPOINT_KIND,
                     "block": number,
                     "health": "draining" if name in draining else "up",
                     "share": self._calls_per_second,
@@ -207,7 +211,7 @@
             while self.holds_notifications:
                 await asyncio.sleep(POLL_INTERVAL_SECONDS)
             if writer.is_closing():
-                return  # the courier is gone and cannot read the acknowledgement
+                return  # the courier has closed the connection, and would not get the acknowledgement
             for message_id in message_ids:
                 self.notification_counts[message_id] += 1
                 self.first_final_answers.setdefault(message_id, FinalAnswer.NOTIFIED)
@@ -225,7 +229,7 @@
                 self._messages_in_flight.subtract(message.message_id for message in messages)
                 self._tokens_in_flight.subtract(message.token for message in messages)
                 if not is_connected:
-                    return  # the courier has given the call up, or has died
+                    return  # the courier has cancelled the call, or has exited
             writer.write(self._respond(name, request))
 
     def _record_start(self, messages: list[MessageInCall]) -> None:
@@ -240,7 +244,7 @@
             self.delivery_starts.append(DeliveryStart(self._clock(), message_id, token))
 
     async def _wait_until_done(self, reader: asyncio.StreamReader, name: str) -> bool:
-        """Wait until a call has taken its time and is not held; False if its connection ends before."""
+        """Wait for a call's service time and until it is not held; False if its connection ends first."""
         end_of_stream = asyncio.ensure_future(reader.read(1))  # a courier sends nothing before the response
         timeout_seconds = (
             POLL_INTERVAL_SECONDS if name in self._held_endpoints else self.service_seconds or None
@@ -249,15 +253,15 @@
         while name in self._held_endpoints and not end_of_stream.done():
             await asyncio.wait([end_of_stream], timeout=POLL_INTERVAL_SECONDS)
         if end_of_stream.done():
-            end_of_stream.exception()  # a reset is an end like any other
+            end_of_stream.exception()  # a reset counts as the end of the stream, too
             return False
         end_of_stream.cancel()
         with suppress(asyncio.CancelledError, OSError):
             await end_of_stream
         return True
 
-    def _held_up_seconds(self) -> float:
-        """Return for how long what is read now may have lain unread."""
+    def _max_read_delay_seconds(self) -> float:
+        """Return an upper bound on how long data that is read now lay unread."""
         return 0.0
 
     def _respond(self, name: str, request: Request) -> bytes:
@@ -265,7 +269,7 @@
         if "x-probe" in request.headers:
             role, epoch, sequence, node = request.headers["x-probe"].split()
             check = ObservedHealthCheck(
-                self._clock(), name, role, int(epoch), int(sequence), node, self._held_up_seconds()
+                self._clock(), name, role, int(epoch), int(sequence), node, self._max_read_delay_seconds()
             )
             self.health_checks.append(check)
         else:
@@ -281,32 +285,32 @@
 
 
 class ThreadedRecordingEndpoints(RecordingEndpoints):
-    """Recording endpoints on an event loop and thread of their own, for tests with real processes."""
+    """Recording endpoints on a separate thread and event loop, for tests with real processes."""
 
     def __init__(self, count: int, calls_per_second: float) -> None:
         super().__init__(count, calls_per_second)
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._loop.run_forever, daemon=True)
         self._thread.start()
-        self._hold_ups: HoldUpMonitor
+        self._stall_monitor: EventLoopStallMonitor
         asyncio.run_coroutine_threadsafe(self.start(), self._loop).result(START_TIMEOUT_SECONDS)
 
     async def start(self) -> None:
-        """Listen, and watch for how long the thread does not run."""
-        self._hold_ups = HoldUpMonitor(self._loop, self._clock)
+        """Listen, and monitor stalls of the event loop."""
+        self._stall_monitor = EventLoopStallMonitor(self._loop, self._clock)
         await super().start()
 
-    def _held_up_seconds(self) -> float:
-        return self._hold_ups.held_up_seconds()
+    def _max_read_delay_seconds(self) -> float:
+        return self._stall_monitor.max_read_delay_seconds()
 
     def close(self) -> None:
-        """Close all servers, and end the thread."""
+        """Close all servers, and stop the thread."""
         asyncio.run_coroutine_threadsafe(self._close_servers(), self._loop).result(CLOSE_TIMEOUT_SECONDS)
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join(CLOSE_TIMEOUT_SECONDS)
 
-    def hold_up(self, seconds: float) -> None:
-        """Keep the thread from running, as other processes on a busy machine do."""
+    def block_event_loop(self, seconds: float) -> None:
+        """Block the event loop, as other processes do on a busy machine."""
         self._loop.call_soon_threadsafe(time.sleep, seconds)
 
     async def _close_servers(self) -> None:
--- a/winchspan/fakes/rehearsal.py
+++ b/winchspan/fakes/rehearsal.py
@@ -1,7 +1,7 @@
-"""Rehearsals in real time: couriers as processes between fakes on real sockets.
+"""Rehearsals in real time: courier processes, and fakes on real sockets.
 
-The scenarios and the audit are those of `rehearsal_in_process`. `winchspan.simulation` replaces the couriers
-and the clock, and plays the same rehearsal on an emulated network.
+The scenarios and the audit are the same as in `rehearsal_in_process`. `winchspan.simulation` replaces the
+couriers and the clock to run the same rehearsal on an emulated network.
 """
 
 from __future__ import annotations
@@ -18,40 +18,42 @@
 from winchspan.fakes.clients import Clients, Workload
 from winchspan.fakes.courier_process import PORT_IN_USE, CourierProcess
 from winchspan.fakes.discovery import Discovery
-from winchspan.fakes.partner import Mode, Partner
+from winchspan.fakes.partner import OutageMode, Partner
 from winchspan.fakes.partner_endpoint import PartnerEndpoint
 from winchspan.fakes.platform import platform
-from winchspan.fakes.scenario import RESTART_DELAY_MS, RUN_OFF_MS, LoadBalancer, Scenario
+from winchspan.fakes.scenario import DRAIN_TIMEOUT_MS, RESTART_DELAY_MS, LoadBalancer, Scenario
 from winchspan.runtime.clock import Clock
 from winchspan.runtime.timers import TimerQueue
 
 SECOND_MS: Final = 1_000.0
-MAX_PORT_ATTEMPTS: Final = 5  # of a courier, before the rehearsal is given up
-PORT_RETRY_DELAY_MS: Final = 200.0  # until a courier is started again whose port was in use
-READY_TIMEOUT_SECONDS: Final = 20.0  # for a courier to answer its first PING
+MAX_PORT_ATTEMPTS: Final = 5  # starts of a courier on other ports before the rehearsal fails
+PORT_RETRY_DELAY_MS: Final = 200.0  # before the restart of a courier whose port was in use
+READY_TIMEOUT_SECONDS: Final = 20.0  # for the answer to the first PING
 READY_POLL_SECONDS: Final = 0.1
-LEAD_TIME_MS: Final = 500.0  # from the couriers' readiness to the start of the run
-CROSSING_MS: Final = 100.0  # a delivery and a notification may both be under way so long, as on the platform
-WATCH_INTERVAL_SECONDS: Final = 0.25  # between two checks on the couriers
+START_DELAY_MS: Final = 500.0  # from the readiness of the couriers to the start of the run
+CROSSING_MS: Final = 100.0  # how long a delivery and a notification may both be in flight, as on the platform
+COURIER_CHECK_INTERVAL_SECONDS: Final = 0.25
 MEMORY_SAMPLE_INTERVAL_MS: Final = 5_000.0
 
 
 class RehearsalError(Exception):
-    """A courier could not be started, or has crashed; the message says which."""
+    """A courier could not be started, or has exited; the message has the path of its files."""
 
 
 @dataclass(slots=True)
 class _Fakes:
-    """The outside parties of a run, on their sockets."""
+    """The fakes of a run, with their servers and connections."""
 
     discovery: Discovery
     partners: dict[int, Partner]
     endpoints: dict[int, list[PartnerEndpoint]]
     connections: ClientConnections
-    replacements: list[asyncio.Task[None]] = field(default_factory=list)  # of endpoints, in progress
+    replacements: list[asyncio.Task[None]] = field(
+        default_factory=list
+    )  # replacements of endpoints in progress
 
     def set_clients(self, clients: Clients) -> None:
-        """Report to these clients from now on."""
+        """Report events to these clients from now on."""
         self.connections.clients = clients
         self.discovery.clients = clients
         for endpoints in self.endpoints.values():
@@ -67,14 +69,14 @@
 
 
 class Rehearsal:
-    """One scenario against real processes.
+    """Runs a scenario against courier processes.
 
     Attributes:
-        clients: what has become of each message, once the run has started.
-        partners: the partners by their numbers.
-        began: the start of the run, in ms of its clock.
-        memory: readings of the ms since the start, and of each courier's resident bytes.
-        cpu: CPU seconds of each courier's latest process, at the end of the run.
+        clients: clients with the state of each message; None before the run starts.
+        partners: partners by their numbers.
+        started_at_ms: start of the run, by its clock.
+        memory_samples: pairs of the ms since the start, and the resident bytes of each courier.
+        cpu_seconds: CPU time of each courier's latest process, at the end of the run.
     """
 
     def __init__(
@@ -88,10 +90,10 @@
         """Prepare a run.
 
         Args:
-            scenario: what happens.
+            scenario: the scenario to run.
             seed: of all random numbers.
-            directory: where each courier gets a directory of its own.
-            operator: the couriers' operator's file; `@state@` in it stands for each one's data directory.
+            directory: holds one directory per courier.
+            operator: the operator's file; `@state@` in it is replaced by each courier's data directory.
             show: prints a line for each final answer.
         """
         self._scenario = scenario
@@ -101,26 +103,26 @@
         self._show = show
         self.clients: Clients | None = None
         self.partners: dict[int, Partner] = {}
-        self.began = 0.0
-        self.memory: list[tuple[float, list[int]]] = []
-        self.cpu: list[float] = []
+        self.started_at_ms = 0.0
+        self.memory_samples: list[tuple[float, list[int]]] = []
+        self.cpu_seconds: list[float] = []
 
     def clock(self) -> Clock:
         """Return the clock of the run."""
         return Clock()
 
     def create_courier(self, directory: Path, number: int) -> CourierProcess:
-        """Return a courier that is not configured."""
+        """Return a courier without a configuration."""
         return CourierProcess(directory, number, self._operator)
 
     def on_discovery_listening(self, port: int) -> None:
-        """Note that discovery listens on a port, by the platform's protocol on the courier's machine."""
+        """Handle that discovery listens on a port; on the platform it runs on the courier's machine."""
 
     def on_endpoint_listening(self, partner: int, port: int) -> None:
-        """Note that an endpoint of a partner listens on a port."""
+        """Handle that an endpoint of a partner listens on a port."""
 
-    def on_run_started(self, timers: TimerQueue, began: float) -> None:
-        """Note that the run begins, at a time in ms of its clock."""
+    def on_run_started(self, timers: TimerQueue, started_at_ms: float) -> None:
+        """Handle the start of the run, at a time of its clock."""
 
     def data_directories(self) -> list[Path]:
         """Return the couriers' data directories."""
@@ -130,7 +132,7 @@
         """Run the scenario to its end.
 
         Raises:
-            RehearsalError: a courier could not be started, or has crashed.
+            RehearsalError: a courier could not be started, or has exited.
         """
         scenario = self._scenario
         clock = self.clock()
@@ -141,13 +143,15 @@
         fakes = await self._start_fakes(clock, timers)
         try:
             await self._start_couriers(couriers, fakes)
-            await asyncio.sleep(LEAD_TIME_MS / SECOND_MS)
+            await asyncio.sleep(START_DELAY_MS / SECOND_MS)
             clients = self._start_clients(fakes, clock, timers)
             self._schedule_faults(couriers, fakes, clients, timers)
             await self._wait_for_end(couriers, clients, clock, timers)
-            self.cpu = [courier.cpu_seconds() for courier in couriers]
-            judged = self.partners[scenario.partners[0].number]
-            return evaluate_run(judged, clients, self.began, self.began + scenario.lasts)
+            self.cpu_seconds = [courier.cpu_seconds() for courier in couriers]
+            audited_partner = self.partners[scenario.partners[0].number]
+            return evaluate_run(
+                audited_partner, clients, self.started_at_ms, self.started_at_ms + scenario.duration_ms
+            )
         finally:
             fakes.connections.close()
             for courier in couriers:
@@ -155,7 +159,7 @@
             fakes.close()
 
     async def _start_fakes(self, clock: Clock, timers: TimerQueue) -> _Fakes:
-        """Open all sockets; outages and submissions are scheduled once all couriers are ready."""
+        """Open all servers; outages and submissions are scheduled only when all couriers are ready."""
         no_clients = Clients(Workload({}, [], 0), clock, timers)
         discovery = Discovery(no_clients, self._show)
         await discovery.server.start()
@@ -190,7 +194,7 @@
         courier.start()
 
     async def _wait_until_up(self, courier: CourierProcess, fakes: _Fakes) -> None:
-        """Wait until a courier is ready; try other ports if its own has come into use meanwhile."""
+        """Wait until a courier is ready; restart it on another port if its port was taken."""
         for remaining in reversed(range(MAX_PORT_ATTEMPTS)):
             if await self._is_ready_in_time(courier, fakes.connections):
                 return
@@ -216,8 +220,8 @@
         clients = Clients(workload, clock, timers, crossing_ms=CROSSING_MS)
         clients.submit = fakes.connections.submit
         self.clients = clients
-        self.began = clock.now()
-        self.on_run_started(timers, self.began)
+        self.started_at_ms = clock.now()
+        self.on_run_started(timers, self.started_at_ms)
         fakes.set_clients(clients)
         return clients
 
@@ -231,13 +235,13 @@
         for settings in scenario.partners:
             server = fakes.endpoints[settings.number][0].server
             for outage in settings.outages:
-                if outage.mode is Mode.DOWN:
-                    timers.call_at(self.began + outage.begin, server.break_all)
-        for time, number in scenario.restarts:
-            timers.call_at(self.began + time, partial(self._restart, couriers[number], timers))
-        for time, number in scenario.relists:
+                if outage.mode is OutageMode.DOWN:
+                    timers.call_at(self.started_at_ms + outage.begin, server.break_all)
+        for time_ms, number in scenario.restarts:
+            timers.call_at(self.started_at_ms + time_ms, partial(self._restart, couriers[number], timers))
+        for time_ms, number in scenario.endpoint_replacements:
             begin_replacement = partial(self._begin_replacement, number, fakes, clients)
-            timers.call_at(self.began + time, begin_replacement)
+            timers.call_at(self.started_at_ms + time_ms, begin_replacement)
 
     @staticmethod
     def _restart(courier: CourierProcess, timers: TimerQueue) -> None:
@@ -249,7 +253,7 @@
         fakes.replacements.append(asyncio.get_running_loop().create_task(replacement))
 
     async def _replace_endpoints(self, number: int, fakes: _Fakes, clients: Clients) -> None:
-        """Replace a partner's listed endpoint by one at a new address."""
+        """Replace a partner's listed endpoint by an endpoint at a new address."""
         endpoints = fakes.endpoints[number]
         new = PartnerEndpoint(endpoints[-1].partner, clients, self._show)
         await new.server.start()
@@ -262,14 +266,16 @@
     async def _wait_for_end(
         self, couriers: list[CourierProcess], clients: Clients, clock: Clock, timers: TimerQueue
     ) -> None:
-        """Wait until nothing more can happen to any message; restart couriers whose port was in use."""
-        last_submission = self.began + self._scenario.lasts
+        """Wait until all messages are settled; restart couriers whose port was in use."""
+        last_submission_at_ms = self.started_at_ms + self._scenario.duration_ms
         port_collision_count = 0
         while True:
             now = clock.now()
-            if now >= last_submission + RUN_OFF_MS or (now > last_submission and clients.are_settled(now)):
+            if now >= last_submission_at_ms + DRAIN_TIMEOUT_MS or (
+                now > last_submission_at_ms and clients.are_settled(now)
+            ):
                 return
-            await asyncio.sleep(WATCH_INTERVAL_SECONDS)
+            await asyncio.sleep(COURIER_CHECK_INTERVAL_SECONDS)
             self._sample_memory(now, couriers)
             for number, courier in enumerate(couriers):
                 if not courier.crashed():
@@ -279,16 +285,16 @@
                     or port_collision_count >= 2 * MAX_PORT_ATTEMPTS
                 ):
                     raise self._crash_error(number, courier)
-                # A connection of another program has the port; that will be over soon.
+                # A connection of another program uses the port for a short time.
                 port_collision_count += 1
                 courier.kill()
                 timers.call_later(PORT_RETRY_DELAY_MS, courier.start)
 
     def _sample_memory(self, now: float, couriers: list[CourierProcess]) -> None:
-        elapsed_ms = now - self.began
-        if not self.memory or elapsed_ms - self.memory[-1][0] >= MEMORY_SAMPLE_INTERVAL_MS:
-            self.memory.append((elapsed_ms, [courier.resident_bytes() for courier in couriers]))
+        elapsed_ms = now - self.started_at_ms
+        if not self.memory_samples or elapsed_ms - self.memory_samples[-1][0] >= MEMORY_SAMPLE_INTERVAL_MS:
+            self.memory_samples.append((elapsed_ms, [courier.resident_bytes() for courier in couriers]))
 
     def _crash_error(self, number: int, courier: CourierProcess) -> RehearsalError:
         log = f"{self._directory}/n{number}/log"
-        return RehearsalError(f"courier n{number} has ended: {courier.last_log_line()}; see {log}")
+        return RehearsalError(f"courier n{number} has exited: {courier.last_log_line()}; see {log}")
--- a/winchspan/fakes/rehearsal_in_process.py
+++ b/winchspan/fakes/rehearsal_in_process.py
@@ -1,7 +1,7 @@
-"""Rehearsals in virtual time: real delivery engines between the fake partners and clients, in one process.
+"""Rehearsals in virtual time: real delivery engines, fake partners and fake clients in one process.
 
-One clock that only the run advances and one queue of timers: the same scenario and seed give the same run. A
-network of fixed latency stands in for sockets; all else is the courier's own code, with its journal on disk.
+All share one manual clock and one timer queue, so that the same scenario and seed give the same run. A
+network of fixed latency replaces the sockets. All other code is the courier's own, with its journal on disk.
 """
 
 from __future__ import annotations
@@ -27,24 +27,24 @@
 from winchspan.fakes.clients import Clients, Message, Workload
 from winchspan.fakes.inline_archiver import InlineArchiver
 from winchspan.fakes.partner import Partner, Reply
-from winchspan.fakes.platform import KIND, SECOND_NS, platform
-from winchspan.fakes.scenario import RESTART_DELAY_MS, RUN_OFF_MS, LoadBalancer, Scenario
+from winchspan.fakes.platform import ENDPOINT_KIND, SECOND_NS, platform
+from winchspan.fakes.scenario import DRAIN_TIMEOUT_MS, RESTART_DELAY_MS, LoadBalancer, Scenario
 from winchspan.overload.governor import OverloadGovernor
 from winchspan.runtime.clock import ManualClock, ms_to_ns
 from winchspan.runtime.sketches import CountMinSketch, RecentKeyFilter
 from winchspan.runtime.timers import Timer, TimerQueue
 from winchspan.storage.journal import Journal
 
-LATENCY_MS: Final = 1.0  # of the network, one way
-CLIENT_TIMEOUT_MS: Final = 400.0  # how long a client waits for a courier's answer
+LATENCY_MS: Final = 1.0  # one-way latency of the network
+CLIENT_TIMEOUT_MS: Final = 400.0  # of a client's wait for a courier's answer
 JOURNAL_QUOTA_BYTES: Final = 3_000_000
-RECENT_KEY_COUNT: Final = 20_000  # capacity of the filter that recognises retries by their idempotency key
-RECENT_KEY_NS: Final = 30 * SECOND_NS  # for how long it recognises them
+RECENT_KEY_COUNT: Final = 20_000  # capacity of the filter that detects retries by their idempotency key
+RECENT_KEY_NS: Final = 30 * SECOND_NS  # retention of a key in this filter
 ENDPOINT_NUMBERS_PER_PARTNER: Final = 100
 
 
 class _IncarnationTimers(TimerQueue):
-    """The timers of one incarnation of a courier: none fires once it has been killed."""
+    """The timers of one incarnation of a courier; they do not fire after it is killed."""
 
     def __init__(self, timers: TimerQueue, clock: ManualClock) -> None:
         super().__init__(clock)
@@ -52,7 +52,7 @@
         self.is_alive = True
 
     def call_at(self, deadline_ms: float, callback: Callable[[], None]) -> Timer:
-        """Call `callback` at a time, if the incarnation lasts until then."""
+        """Call `callback` at a time, unless the incarnation is killed before."""
 
         def call_if_alive() -> None:
             if self.is_alive:
@@ -61,12 +61,12 @@
         return self._timers.call_at(deadline_ms, call_if_alive)
 
     def call_soon(self, callback: Callable[[], None]) -> Timer:
-        """Call `callback` at the present time, but after the callbacks that are due already."""
+        """Call `callback` at the present time, after the callbacks that are already due."""
         return self.call_at(self._clock.now(), callback)
 
 
 class _PartnerCall:
-    """One call to a partner, over a network of fixed latency; it is written at once and completely."""
+    """A call to a partner over a network of fixed latency; it is written completely at its start."""
 
     def __init__(
         self,
@@ -81,16 +81,16 @@
         self._report = report
         self._is_over = False
         self._timeout: Timer | None = None
-        self._withdraw: Callable[[], None] = lambda: None
+        self._cancel_partner_call: Callable[[], None] = lambda: None
 
     def start(self, partner: Partner, until: float) -> None:
-        """Send the call, and wait for its answer until a time in ms."""
+        """Send the call, and wait for its answer until `until`, in ms of the run's clock."""
         self._timeout = self._timers.call_at(until, self._expire)
         self._rehearsal.timers.call_later(LATENCY_MS, partial(self._arrive, partner))
 
     def _arrive(self, partner: Partner) -> None:
         if not self._is_over:
-            self._withdraw = partner.receive_call(self._send_reply)
+            self._cancel_partner_call = partner.receive_call(self._send_reply)
 
     def _send_reply(self, reply: Reply, wait_ms: float) -> None:
         if reply is Reply.OK:
@@ -111,7 +111,7 @@
             self._end(AttemptResult(api.Outcome.CONNECT_FAILED))
 
     def _expire(self) -> None:
-        self._withdraw()
+        self._cancel_partner_call()
         self._end(AttemptResult(api.Outcome.TIMEOUT))
 
     def _end(self, result: AttemptResult) -> None:
@@ -124,16 +124,16 @@
             self._report([result] * len(self._messages))
 
     def drop_unwanted_messages(self) -> None:
-        """Leave the call as it is: all of it has been written."""
+        """Drop nothing: the whole call has been written."""
 
     def cancel(self) -> None:
-        """Stop waiting for the call; its end is reported later, as by the courier's transport."""
-        self._withdraw()
+        """Cancel the call; its end is reported later, as the courier's transport does."""
+        self._cancel_partner_call()
         self._timers.call_soon(lambda: self._end(AttemptResult(api.Outcome.CANCELLED)))
 
 
 class _Transport:
-    """Carries the attempts of one incarnation to the partners; an `AttemptTransport`."""
+    """An `AttemptTransport` that passes the attempts of one incarnation to the partners."""
 
     def __init__(self, rehearsal: InProcessRehearsal, timers: _IncarnationTimers) -> None:
         self._rehearsal = rehearsal
@@ -154,22 +154,22 @@
         return call
 
     def recall(self, endpoint: int) -> None:
-        """Withdraw nothing: calls are written at once."""
+        """Recall nothing: calls are written at their start."""
 
     def close_idle(self, endpoint: int) -> None:
         """Close nothing: there are no connections."""
 
     def serves(self, dest: int) -> bool:
-        """Return whether the run has such a partner."""
+        """Return whether the run has a partner with this number."""
         return dest in self._rehearsal.partners
 
     def describe(self, endpoint: int) -> tuple[str, str, int]:
-        """Return an endpoint's name, its zone, and how many messages a call to it may carry."""
+        """Return an endpoint's name, its zone, and the maximum number of messages per call."""
         return f"s-{endpoint}", "", 1
 
 
 class _Notifier:
-    """Carries the notifications of one incarnation to the clients; a `Notifier`."""
+    """A `Notifier` that passes the notifications of one incarnation to the clients."""
 
     def __init__(self, rehearsal: InProcessRehearsal, timers: _IncarnationTimers) -> None:
         self._rehearsal = rehearsal
@@ -178,7 +178,7 @@
     def notify(
         self, message: str, state: str, after_ms: int, on_acknowledged: Callable[[], None], reason: str = ""
     ) -> None:
-        """Send a notification, and acknowledge it, each over the network's latency."""
+        """Send a notification and its acknowledgement, each with the network's latency."""
 
         def arrive() -> None:
             self._rehearsal.clients.notified(message, state, float(after_ms))
@@ -188,7 +188,7 @@
 
 
 class _CourierNode:
-    """One courier in virtual time: its engine, journal and timers, which a kill replaces."""
+    """A courier in virtual time; each incarnation has its own engine, journal and timers."""
 
     def __init__(self, rehearsal: InProcessRehearsal, number: int) -> None:
         self._rehearsal = rehearsal
@@ -202,7 +202,7 @@
         self.start()
 
     def start(self) -> None:
-        """Start an incarnation on what the previous one has left in the data directory."""
+        """Start an incarnation on the data directory of the previous one."""
         rehearsal = self._rehearsal
         scenario = rehearsal.scenario
         settings = replace(
@@ -221,22 +221,24 @@
         engine.update_endpoints(rehearsal.endpoint_list(api.UpdateScope.STALE))
         engine.recover()
         engine.update_endpoints(rehearsal.endpoint_list(api.UpdateScope.SNAPSHOT))
-        if self._archiver is not None and scenario.resends is not None:
+        if self._archiver is not None and scenario.redelivery_rules is not None:
             RedeliveryWorker(
                 RedeliveryPorts(rehearsal.clock, self._timers, self._archiver, engine),
-                RedeliveryPolicy(scenario.resends, settings.classes),
+                RedeliveryPolicy(scenario.redelivery_rules, settings.classes),
             ).start()
 
     def _create_governor(self, settings: api.Settings, seed: int) -> OverloadGovernor | None:
-        overload = self._rehearsal.scenario.storms
-        if overload is None:
+        overload_settings = self._rehearsal.scenario.overload
+        if overload_settings is None:
             return None
         now_ns = ms_to_ns(self._rehearsal.clock.now())
         recent_keys = RecentKeyFilter(now_ns, RECENT_KEY_COUNT, RECENT_KEY_NS)
-        return OverloadGovernor(settings, replace(overload, seed=seed), recent_keys, CountMinSketch())
+        return OverloadGovernor(
+            settings, replace(overload_settings, seed=seed), recent_keys, CountMinSketch()
+        )
 
     def _create_archiver(self, settings: api.Settings, seed: int) -> InlineArchiver | None:
-        if self._rehearsal.scenario.resends is None:
+        if self._rehearsal.scenario.redelivery_rules is None:
             return None
         return InlineArchiver(
             self._timers.call_later,
@@ -259,7 +261,7 @@
         )
 
     def kill(self) -> None:
-        """End an incarnation without warning; its calls break, and the next one starts 600 ms later."""
+        """Kill the incarnation with its calls; the next one starts 600 ms later."""
         self._timers.is_alive = False
         self.engine = None
         self._journal.close_without_flush()
@@ -271,7 +273,7 @@
         """Receive a submission of a client."""
         timers = self._rehearsal.timers
         clients = self._rehearsal.clients
-        if self.engine is None:  # the connection breaks: the load balancer does not know yet
+        if self.engine is None:  # the load balancer has not detected the failure yet
             timers.call_later(CLIENT_TIMEOUT_MS, partial(clients.rejected, message.id, 0.0))
             return
         try:
@@ -296,27 +298,27 @@
 
 
 class InProcessRehearsal:
-    """One scenario in virtual time.
+    """Runs a scenario in virtual time.
 
     Attributes:
-        clients: what has become of each message.
-        partners: the partners by their numbers.
-        nodes: the couriers.
+        clients: clients with the state of each message.
+        partners: partners by their numbers.
+        nodes: couriers by their numbers.
     """
 
     def __init__(self, scenario: Scenario, seed: int, directory: Path) -> None:
         """Prepare a run.
 
         Args:
-            scenario: what happens.
+            scenario: the scenario to run.
             seed: of all random numbers.
-            directory: where each courier gets its data directory.
+            directory: holds the data directories of the couriers.
         """
         self.scenario = scenario
         self.directory = directory
         self.clock = ManualClock()
         self.timers = TimerQueue(self.clock)
-        self._began = self.clock.now()
+        self._started_at_ms = self.clock.now()
         self.partners = {
             settings.number: Partner(settings, self.clock, self.timers) for settings in scenario.partners
         }
@@ -326,22 +328,22 @@
         self.clients.submit = self._submit
         self._load_balancer = LoadBalancer(scenario, seed)
         self.nodes = [_CourierNode(self, number) for number in range(scenario.couriers)]
-        for time, number in scenario.restarts:
-            self.timers.call_later(time, self.nodes[number].kill)
-        for time, number in scenario.relists:
-            self.timers.call_later(time, partial(self._replace_endpoints, number))
+        for time_ms, number in scenario.restarts:
+            self.timers.call_later(time_ms, self.nodes[number].kill)
+        for time_ms, number in scenario.endpoint_replacements:
+            self.timers.call_later(time_ms, partial(self._replace_endpoints, number))
 
     def partner_of(self, endpoint: int) -> Partner:
         """Return the partner that an endpoint belongs to."""
         return self.partners[endpoint // ENDPOINT_NUMBERS_PER_PARTNER]
 
     def endpoint_list(self, scope: api.UpdateScope) -> api.EndpointsUpdated:
-        """Return the endpoint list: one endpoint for each partner."""
+        """Return the endpoint list, with one endpoint per partner."""
         entries = tuple(
             api.EndpointEntry(
                 number * ENDPOINT_NUMBERS_PER_PARTNER + self._endpoint_generations[number],
                 number,
-                kind=KIND,
+                kind=ENDPOINT_KIND,
                 rating=partner.settings.listed,
             )
             for number, partner in self.partners.items()
@@ -358,10 +360,15 @@
         self.nodes[self._load_balancer.choose_courier(message)].submit(message, is_retry)
 
     def run(self) -> Result:
-        """Run the scenario to its end, and a while longer for attempts in flight."""
-        end = self._began + self.scenario.lasts + RUN_OFF_MS
+        """Run the scenario, and then up to `DRAIN_TIMEOUT_MS` longer for attempts in flight."""
+        end = self._started_at_ms + self.scenario.duration_ms + DRAIN_TIMEOUT_MS
         while (deadline := self.timers.next_deadline_ms()) is not None and deadline <= end:
             self.clock.advance(max(0.0, deadline - self.clock.now()))
             self.timers.run_due()
-        judged = next(iter(self.partners.values()))
-        return evaluate_run(judged, self.clients, self._began, self._began + self.scenario.lasts)
+        audited_partner = next(iter(self.partners.values()))
+        return evaluate_run(
+            audited_partner,
+            self.clients,
+            self._started_at_ms,
+            self._started_at_ms + self.scenario.duration_ms,
+        )
--- a/winchspan/fakes/relay.py
+++ b/winchspan/fakes/relay.py
@@ -1,11 +1,12 @@
-"""A relay between the couriers of a fleet that injects network faults into their traffic.
+"""A relay that injects network faults into the traffic between the couriers of a fleet.
 
-Each directed link has faults of its own. Datagrams are lost, delayed, duplicated or reordered. Of a
-connection nothing is lost, but its bytes are delayed or held, as retransmissions of TCP would be. A link that
-is cut lets nothing pass, and a connection over it is completed only once it is restored.
+Each directed link has its own faults. Datagrams are lost, delayed, duplicated or reordered. Bytes of a
+connection are never lost, but they are delayed or held, as by retransmissions of TCP. A cut link passes
+nothing, and a connection over it is established only after the link is restored.
 
-Courier `a` finds `b` at the relay's address of the link from `a` to `b`. The relay receives there what `a`
-sends to `b`, and sends from there what `b` sends to `a`, since couriers check the source of a datagram.
+Each link from `a` to `b` has a port on the relay, which courier `a` uses as the address of `b`. On this port
+the relay receives the traffic from `a` to `b`. It also sends the datagrams from `b` to `a` from this port,
+since couriers check the source of a datagram.
 """
 
 from __future__ import annotations
@@ -21,12 +22,12 @@
 from winchspan.fakes.ports import HOST
 
 READ_SIZE_BYTES: Final = 65_536
-CALL_TIMEOUT_SECONDS: Final = 30.0  # for an action on the relay's thread
+CALL_TIMEOUT_SECONDS: Final = 30.0  # for a call to the relay's thread
 CLOSE_TIMEOUT_SECONDS: Final = 10.0
 
 
 class Link(NamedTuple):
-    """One direction between two couriers."""
+    """One direction of the traffic between two couriers."""
 
     source: str
     target: str
@@ -39,15 +40,15 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkFaults:
-    """What a link does to what passes.
+    """The faults of a link.
 
     Attributes:
-        is_cut: whether nothing passes.
+        is_cut: whether the link passes nothing.
         loss: share of datagrams that are lost.
         duplicated: share of datagrams that arrive twice.
-        reordered: share of datagrams that are delayed by `reordering_ms`, so that others overtake them.
-        reordering_ms: their further delay.
-        delay_ms: of all datagrams and bytes.
+        reordered: share of datagrams that later ones overtake, since they are delayed by `reordering_ms`.
+        reordering_ms: additional delay of reordered datagrams.
+        delay_ms: delay of all datagrams and bytes.
     """
 
     is_cut: bool = False
@@ -66,7 +67,7 @@
 
 
 class _DatagramReceiver(asyncio.DatagramProtocol):
-    """Receives at the socket at which a link's source finds its target."""
+    """Receives datagrams on the port of a link."""
 
     def __init__(self, on_datagram: Callable[[bytes, int], None]) -> None:
         self._on_datagram = on_datagram
@@ -75,11 +76,11 @@
         self._on_datagram(data, addr[1])
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore that nobody listens at the target: its courier is dead."""
+        """Ignore ICMP errors: the target's courier is not running."""
 
 
 class Relay:
-    """All links of a fleet, on an event loop and thread of their own."""
+    """All links of a fleet, on a separate thread and event loop."""
 
     def __init__(
         self, courier_ports: Mapping[str, int], link_ports: Mapping[tuple[str, str], int], seed: int
@@ -87,9 +88,9 @@
         """Open all links.
 
         Args:
-            courier_ports: at which each courier listens, UDP and TCP.
-            link_ports: by source and target, at which the source finds the target.
-            seed: of the faults.
+            courier_ports: UDP and TCP port of each courier, by name.
+            link_ports: ports of the relay, by source and target of the link.
+            seed: of the random faults.
         """
         self._courier_ports = dict(courier_ports)
         self._link_ports = {Link(*link): port for link, port in link_ports.items()}
@@ -106,11 +107,11 @@
 
     # ---- faults, from any thread -------------------------------------------------------------------------
     def cut(self, source: str, target: str) -> None:
-        """Cut a link in one direction."""
+        """Drop all traffic in one direction of a link."""
         self._change_faults([Link(source, target)], _cut)
 
     def partition(self, names: set[str]) -> None:
-        """Cut some couriers off from the rest, both ways."""
+        """Partition some couriers from the others, in both directions."""
         links = [link for link in self._link_ports if (link.source in names) != (link.target in names)]
         self._change_faults(links, _cut)
 
@@ -123,12 +124,12 @@
         self.set_all_faults(NO_FAULTS)
 
     def close(self) -> None:
-        """Close all links and end the thread."""
+        """Close all links and stop the thread."""
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join(CLOSE_TIMEOUT_SECONDS)
 
     def _change_faults(self, links: Iterable[Link], change: Callable[[LinkFaults], LinkFaults]) -> None:
-        """Change the faults of some links on the relay's thread, and wait until that is done."""
+        """Change the faults of some links on the relay's thread, and wait until they are in effect."""
 
         async def change_all() -> None:
             self._faults |= {link: change(self._faults_of(link)) for link in links}
@@ -174,12 +175,12 @@
             self._loop.call_later(delay_ms / 1_000.0, self._send_datagram, link, data)
 
     def _send_datagram(self, link: Link, data: bytes) -> None:
-        transport = self._datagram_transports[link.reverse]  # at which the target finds the source
+        transport = self._datagram_transports[link.reverse]  # the target's address of the source
         if not transport.is_closing() and not self._faults_of(link).is_cut:
             transport.sendto(data, (HOST, self._courier_ports[link.target]))
 
     async def _wait_until_open(self, *links: Link) -> None:
-        """Wait until none of some links is cut."""
+        """Wait until none of the links is cut."""
         while any(self._faults_of(link).is_cut for link in links):
             assert self._faults_changed is not None
             await self._faults_changed.wait()
@@ -192,7 +193,7 @@
     async def _relay_connection(
         self, link: Link, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Connect to the target once both directions are open, and relay both until one ends."""
+        """Connect to the target once no direction is cut, and relay both directions until one ends."""
         target_writer: asyncio.StreamWriter | None = None
         self._open_writers.add(writer)
         try:
@@ -209,7 +210,7 @@
             for task in tasks:
                 task.cancel()
         except OSError:
-            pass  # the target does not listen: its courier is dead
+            pass  # the target's courier is not running
         finally:
             for open_writer in (writer, target_writer):
                 if open_writer is not None:
@@ -219,7 +220,7 @@
     async def _relay_bytes(
         self, link: Link, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Relay one direction of a connection until it ends; its bytes wait while the link is cut."""
+        """Relay one direction of a connection until it ends; bytes are held while the link is cut."""
         try:
             while data := await reader.read(READ_SIZE_BYTES):
                 delay_ms = self._faults_of(link).delay_ms
--- a/winchspan/fakes/scenario.py
+++ b/winchspan/fakes/scenario.py
@@ -1,7 +1,7 @@
-"""What happens in a rehearsal: partners, submissions, their routing to couriers, kills, new endpoints.
+"""Scenarios of rehearsals: partners, submissions, load balancing, kills and replaced endpoints.
 
-The same scenario is played in virtual time by `rehearsal_in_process`, against processes by `rehearsal`, and
-on an emulated network by `winchspan.simulation`.
+`rehearsal_in_process` runs a scenario in virtual time, `rehearsal` against processes, and
+`winchspan.simulation` on an emulated network.
 """
 
 from __future__ import annotations
@@ -12,27 +12,28 @@
 
 from winchspan.dead_letters.policy import RedeliveryRule
 from winchspan.fakes.clients import Message, Stream
-from winchspan.fakes.partner import Mode, Outage, PartnerSettings
+from winchspan.fakes.partner import Outage, OutageMode, PartnerSettings
 from winchspan.overload.settings import OverloadSettings
 
-RESTART_DELAY_MS: Final = 600.0  # from the kill of a courier to its next start
-RUN_OFF_MS: Final = 30_000.0  # at most, after the last submission, for messages that have no final answer yet
+RESTART_DELAY_MS: Final = 600.0  # from the kill of a courier to its restart
+DRAIN_TIMEOUT_MS: Final = 30_000.0  # after the last submission, for the final answers
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A run; times in ms from its start.
+    """The parameters of a run; times in ms from its start.
 
     Attributes:
-        partners: the first is the one that audits judge.
-        streams: what clients submit.
-        couriers: how many there are.
-        shares: each courier's share of the traffic; empty: even shares.
-        lasts: the duration of the run.
-        restarts: when which courier is killed; it is started again after `RESTART_DELAY_MS`.
-        relists: when all endpoints of which partner are replaced by new ones.
-        storms: settings of overload control; None: it is off.
-        resends: redelivery rules; None: dead letters are not stored.
+        partners: audits evaluate the first one.
+        streams: submissions of the clients.
+        couriers: number of couriers.
+        shares: each courier's share of the traffic; empty: equal shares.
+        duration_ms: duration of the run.
+        restarts: pairs of a time and the number of the courier that is killed; it is restarted after
+            `RESTART_DELAY_MS`.
+        endpoint_replacements: pairs of a time and the number of the partner whose endpoints are replaced.
+        overload: settings of overload control; None: it is off.
+        redelivery_rules: redelivery rules; None: dead letters are not stored.
         changes: fields of the platform's settings that differ from `platform`.
     """
 
@@ -40,32 +41,32 @@
     streams: tuple[Stream, ...]
     couriers: int = 3
     shares: tuple[float, ...] = ()
-    lasts: float = 120_000.0
+    duration_ms: float = 120_000.0
     restarts: tuple[tuple[float, int], ...] = ()
-    relists: tuple[tuple[float, int], ...] = ()
-    storms: OverloadSettings | None = None
-    resends: tuple[RedeliveryRule, ...] | None = None
+    endpoint_replacements: tuple[tuple[float, int], ...] = ()
+    overload: OverloadSettings | None = None
+    redelivery_rules: tuple[RedeliveryRule, ...] | None = None
     changes: dict[str, Any] = field(default_factory=dict)
 
 
 class ScenarioChanges(TypedDict, total=False):
-    """Fields of `Scenario` that may replace those of the standard storm."""
+    """Fields of `Scenario` that callers of `storm_scenario` may override."""
 
     streams: tuple[Stream, ...]
     shares: tuple[float, ...]
-    lasts: float
+    duration_ms: float
     restarts: tuple[tuple[float, int], ...]
-    relists: tuple[tuple[float, int], ...]
-    storms: OverloadSettings | None
-    resends: tuple[RedeliveryRule, ...] | None
+    endpoint_replacements: tuple[tuple[float, int], ...]
+    overload: OverloadSettings | None
+    redelivery_rules: tuple[RedeliveryRule, ...] | None
     changes: dict[str, Any]
 
 
 class LoadBalancer:
-    """Routes submissions: one with an ordering key always to the same courier, others by the shares."""
+    """Routes submissions to couriers by shares; those with an ordering key always go to the same courier."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
-        """Create it for a run with a seed; its random numbers differ from those of the run's clients."""
+        """Create a load balancer; its random numbers are independent of those of the run's clients."""
         self._shares = scenario.shares or (1.0,) * scenario.couriers
         self._random = random.Random(seed + 2)
 
@@ -87,18 +88,18 @@
     partner: PartnerSettings | None = None,
     **changes: Unpack[ScenarioChanges],
 ) -> Scenario:
-    """Return the standard retry storm: two minutes, in which a partner is silent from 30 s to 60 s.
+    """Return the standard retry storm: two minutes, with an outage of one partner from 30 s to 60 s.
 
-    The partner lists 20 calls a second. Two thirds of its messages are payments with 200 ordering keys, the
-    rest are notices; another partner has no outage.
+    The partner lists 20 calls per second, and is silent during the outage. Two thirds of its messages are
+    payments with 200 ordering keys, the others are notices. A second partner has no outage.
 
     Args:
-        load: the load on the partner, as a share of its listed rate.
-        couriers: how many couriers there are.
+        load: load on the partner, as a share of its listed rate.
+        couriers: number of couriers.
         partner: the partner with the outage; None: the standard one.
-        changes: fields of the scenario that differ from the standard storm.
+        changes: fields of the scenario that override the standard ones.
     """
-    failing = partner or PartnerSettings(outages=(Outage(30_000.0, 60_000.0, Mode.SILENT),))
+    failing = partner or PartnerSettings(outages=(Outage(30_000.0, 60_000.0, OutageMode.SILENT),))
     healthy = PartnerSettings(number=8, listed=12.0, capacity=14.0)
     rate = load * failing.listed
     streams = (
@@ -108,5 +109,7 @@
         Stream("gallery-notice", healthy.number, 2.0),
     )
     scenario = replace(Scenario((failing, healthy), streams, couriers), **changes)
-    ended_streams = tuple(replace(stream, end=min(stream.end, scenario.lasts)) for stream in scenario.streams)
+    ended_streams = tuple(
+        replace(stream, end=min(stream.end, scenario.duration_ms)) for stream in scenario.streams
+    )
     return replace(scenario, streams=ended_streams)
--- a/winchspan/fakes/sockets.py
+++ b/winchspan/fakes/sockets.py
@@ -1,6 +1,7 @@
-"""A small HTTP server on loopback, on which the fakes of outside parties are built.
+"""A minimal HTTP server on loopback, on which the fakes are built.
 
-It does what the platform's protocol needs, by asyncio's streams; it shares no code with the courier.
+It implements the part of HTTP that the platform's protocol needs, with asyncio streams. It shares no code
+with the courier.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One HTTP request; the names of its headers are in lower case."""
+    """An HTTP request; header names are in lower case."""
 
     method: str
     path: str
@@ -29,7 +30,7 @@
 
 
 async def read_request(reader: asyncio.StreamReader) -> Request | None:
-    """Read one request; return None at the end of the connection, or if the request is too large."""
+    """Read a request; return None at the end of the connection, or for a request that is too large."""
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, OSError):
@@ -51,7 +52,7 @@
 
 
 def answer(status: int, body: bytes = b"", headers: tuple[tuple[str, str], ...] = ()) -> bytes:
-    """Return an HTTP response of known length."""
+    """Return an encoded HTTP response with its `Content-Length`."""
     lines = [f"HTTP/1.1 {status} X", *(f"{name}: {value}" for name, value in headers)]
     if status != NO_CONTENT:
         lines.append(f"Content-Length: {len(body)}")
@@ -59,20 +60,20 @@
 
 
 class Server:
-    """A listening socket on loopback, and its connections.
+    """A server on loopback, and its open connections.
 
     Attributes:
-        port: the port that it listens on, once it is started.
+        port: port on which it listens; 0 before `start`.
     """
 
     def __init__(self, serve: ConnectionHandler) -> None:
         self._serve = serve
         self._server: asyncio.Server | None = None
-        self._writers: dict[asyncio.StreamWriter, None] = {}  # in the order in which they were accepted
+        self._writers: dict[asyncio.StreamWriter, None] = {}  # in the order of acceptance
         self.port = 0
 
     async def start(self) -> None:
-        """Listen on a port of the system's choice."""
+        """Listen on a port that the system chooses."""
         self._server = await asyncio.start_server(self._run, HOST, 0, limit=MAX_REQUEST_BYTES)
         self.port = int(self._server.sockets[0].getsockname()[1])
 
@@ -87,7 +88,7 @@
             writer.close()
 
     def break_all(self) -> None:
-        """Reset all connections, as the end of a process does."""
+        """Reset all connections, as the exit of a process does."""
         for writer in list(self._writers):
             writer.transport.abort()
 
--- a/winchspan/fakes/submission.py
+++ b/winchspan/fakes/submission.py
@@ -19,12 +19,12 @@
 
     Attributes:
         message_id: 16 hexadecimal digits.
-        class_name: of its message class.
+        class_name: name of its message class.
         destination: number of its destination.
-        deadline_ms: from now on, by when it is to be delivered.
-        token: its idempotency key.
-        ordering_key: messages of one key go one after another; 0 for none.
-        body: that is delivered.
+        deadline_ms: time limit of the delivery, from the submission.
+        token: idempotency key.
+        ordering_key: messages with the same key are delivered one after another; 0: no ordering.
+        body: content to deliver.
     """
 
     message_id: str
@@ -49,12 +49,12 @@
 
 
 def new_message_id() -> str:
-    """Return an id that no earlier message of this process has had."""
+    """Return a message id that is unique within this process."""
     return f"{time.monotonic_ns() % (1 << 64):016x}"
 
 
 def submit_message(port: int, submission: Submission) -> bytes:
-    """Submit a message on a connection of its own, and return the courier's reply."""
+    """Submit a message on a new connection, and return the courier's reply."""
     with socket.create_connection((HOST, port), timeout=SUBMIT_TIMEOUT_SECONDS) as connection:
         connection.sendall(submission.encode())
         return connection.recv(MAX_REPLY_BYTES)
--- a/winchspan/fakes/virtual_time.py
+++ b/winchspan/fakes/virtual_time.py
@@ -1,6 +1,6 @@
-"""A timeline of events in virtual time, and the faults of a simulated network.
+"""An event queue in virtual time, and the faults of a simulated network.
 
-The base of the simulated clusters of state machines: the same seed gives the same run.
+This is the base of the simulated clusters. The same seed gives the same run.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NetworkFaults:
-    """What the network does to messages."""
+    """The faults of a network."""
 
     loss: float = 0.0  # share of messages that are lost
     delay_ms: float = 2.0  # mean of the exponential delay
@@ -22,13 +22,13 @@
 
 
 class VirtualTimeWorld:
-    """Virtual time, its pending events, one source of randomness, and links that may be cut.
+    """A discrete-event simulation with a random number generator, network faults and cut links.
 
     Attributes:
-        now: virtual time, ms.
-        rng: source of all randomness.
+        now: virtual time, in ms.
+        rng: source of all random numbers.
         network: faults of every link.
-        cut_links: pairs of source and target between which nothing passes.
+        cut_links: pairs of source and target whose link passes nothing.
     """
 
     def __init__(self, seed: int, network: NetworkFaults) -> None:
@@ -40,24 +40,24 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
 
     def call_later(self, delay_ms: float, action: Callable[[], None]) -> None:
-        """Run an action later; actions of the same time run in the order of their calls."""
+        """Schedule an action after a delay; actions at the same time run in the order of scheduling."""
         heappush(self._events, (self.now + delay_ms, next(self._event_numbers), action))
 
     def run(self, duration_ms: float) -> None:
-        """Let time pass."""
+        """Run all events within a duration."""
         end = self.now + duration_ms
         while self._events and self._events[0][0] <= end:
             self._run_next_event()
         self.now = end
 
     def run_until(self, condition: Callable[[], bool], timeout_ms: float) -> float:
-        """Let time pass until a condition holds.
+        """Run events until a condition holds.
 
         Returns:
-            How long that took, ms.
+            The elapsed virtual time, in ms.
 
         Raises:
-            AssertionError: if it does not hold within `timeout_ms`.
+            AssertionError: the condition does not hold within `timeout_ms`, or no events are left.
         """
         started_at = self.now
         while not condition():
@@ -67,11 +67,11 @@
         return self.now - started_at
 
     def draw_delay_ms(self) -> float:
-        """Draw a message's delay."""
+        """Draw the delay of a message."""
         return self.rng.expovariate(1.0 / self.network.delay_ms)
 
     def draw_copy_count(self) -> int:
-        """Draw how many times a message that is not lost arrives."""
+        """Draw the number of copies in which a message arrives, if it is not lost."""
         return 2 if self.rng.random() < self.network.duplicated else 1
 
     def _run_next_event(self) -> None:
--- a/winchspan/lab/__init__.py
+++ b/winchspan/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Keeps `python -m winchspan.lab`, the name under which users know the experiment tool."""
+"""Alias package: `python -m winchspan.lab` runs the experiment tool under its established name."""
--- a/winchspan/lab/__main__.py
+++ b/winchspan/lab/__main__.py
@@ -1,4 +1,4 @@
-"""Runs `winchspan.experiments`."""
+"""Runs the experiment tool, `winchspan.experiments`."""
 
 import runpy
 
--- a/winchspan/leases/__init__.py
+++ b/winchspan/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leased roles of the cluster: each has one holder at a time, under an epoch that only rises."""
+"""Leased roles of the cluster: each role has at most one holder at a time, under an increasing epoch."""
--- a/winchspan/leases/clock_drift.py
+++ b/winchspan/leases/clock_drift.py
@@ -1,11 +1,11 @@
-"""Detection of clocks that drift more than leases allow for, from what other nodes say that theirs read.
-
-A lease is safe while all clocks keep to the stated drift (winchspan/leases/manager.py). A node cannot verify
-that of its own clock alone, but several clocks that are compared can show one that does not. Each node
-reports now and then what its clock reads. The least delayed report of each window of some seconds counts
-(Cristian 1989); the slope of those against the local clock is the median over all pairs (Theil 1950, Sen
-1968), so that reports that were stalled and arrive together have no weight. The median of all nodes' slopes,
-the local one's 0 among them, is taken for true time.
+"""Detection of clocks that drift more than leases allow for, from clock readings that other nodes report.
+
+Leases are safe while the drift of all clocks is within the stated bound (winchspan/leases/manager.py). A node
+cannot verify its own clock alone, but a comparison of several clocks shows one that exceeds the bound. Each
+node reports its clock reading periodically. Only the least delayed report of each window of several seconds
+counts (Cristian 1989). The drift rate against the local clock is the median of the slopes over all pairs of
+these reports (Theil 1950, Sen 1968), so that delayed reports that arrive together have no effect. The median
+of the rates of all nodes, including the local rate of 0, is used as true time.
 """
 
 from __future__ import annotations
@@ -14,44 +14,42 @@
 from itertools import combinations
 from typing import Final, NamedTuple
 
-WINDOW_MS: Final = 5_000.0  # of which the least delayed report counts
-MAX_WINDOWS: Final = 8  # remembered of each process
-MIN_WINDOWS: Final = 5  # from which a drift is estimated
-ALARM_FACTOR: Final = (
-    1.5  # of the stated drift against the median: the rest may be the local clock's own drift
-)
-CLEAR_FACTOR: Final = 1.25  # below which a clock that was off counts as good again
-MAX_PROCESSES: Final = 500  # remembered
-MIN_CLOCKS: Final = 3  # with two, either may be the one that drifts
+WINDOW_MS: Final = 5_000.0  # window of which only the least delayed report counts
+MAX_WINDOWS: Final = 8  # number of windows stored per process
+MIN_WINDOWS: Final = 5  # number of windows needed to estimate a drift rate
+ALARM_FACTOR: Final = 1.5  # alarm threshold, in stated drifts; the excess over 1 may be local drift
+CLEAR_FACTOR: Final = 1.25  # threshold in stated drifts below which an alarm is cleared
+MAX_PROCESSES: Final = 500  # number of processes tracked
+MIN_CLOCKS: Final = 3  # with two clocks, it is undecidable which one drifts
 
 
 class ClockOffset(NamedTuple):
-    """A local clock reading, and a remote reading less the local one, ms."""
+    """A local clock reading, and the difference of a remote reading from it, ms."""
 
     local_ms: float
     offset_ms: float
 
 
 def _median(values: Iterable[float]) -> float:
-    """Return the median; importing `statistics` would cost each courier its start-up time."""
+    """Return the median; an import of `statistics` would slow down the start of each courier."""
     ranked = sorted(values)
     return (ranked[len(ranked) // 2] + ranked[(len(ranked) - 1) // 2]) / 2.0
 
 
 class ClockDriftMonitor:
-    """One node's estimates of the other nodes' clocks."""
+    """Estimates the drift rates of the other nodes' clocks against the local clock."""
 
     def __init__(self) -> None:
-        self._offsets: dict[tuple[str, int], list[ClockOffset]] = {}  # by name and process nonce
+        self._offsets: dict[tuple[str, int], list[ClockOffset]] = {}  # by node name and process nonce
 
     def record_reading(self, now: float, name: str, process_nonce: int, reading_ms: float) -> None:
-        """Record what a node's process says that its clock reads.
+        """Record a clock reading that a node's process reports.
 
         Args:
             now: local clock reading, ms.
-            name: of the node.
-            process_nonce: of its process; a new one may follow another clock after a reboot.
-            reading_ms: of its clock.
+            name: name of the node.
+            process_nonce: nonce of its process; after a reboot a new process may use another clock.
+            reading_ms: reported clock reading.
         """
         key = (name, process_nonce)
         observed = ClockOffset(now, reading_ms - now)
@@ -67,7 +65,7 @@
         del offsets[:-MAX_WINDOWS]
 
     def drift_rate(self, name: str) -> float | None:
-        """Return how much a node's clock gains on the local one, as a ratio; None if not known yet."""
+        """Return the drift rate of a node's clock against the local clock, as a ratio; None if unknown."""
         offsets = next((offsets for key, offsets in self._offsets.items() if key[0] == name), [])
         if len(offsets) < MIN_WINDOWS:
             return None
@@ -79,12 +77,12 @@
     def find_drifting_clocks(
         self, local_name: str, max_drift: float, previously_drifting: Iterable[str] = ()
     ) -> dict[str, float]:
-        """Return the nodes whose clocks surely drift too much, and by how much, as a ratio.
+        """Return the drift rates of the clocks that certainly exceed the bound, as ratios by node name.
 
         Args:
-            local_name: this node, which may be among them.
-            max_drift: the stated bound, as a ratio.
-            previously_drifting: the nodes found last time, which are cleared at a lower threshold.
+            local_name: name of this node, which the result may include.
+            max_drift: stated bound on the drift, as a ratio.
+            previously_drifting: nodes of the previous result, which are cleared at a lower threshold.
         """
         rates = {local_name: 0.0}
         for name, _ in self._offsets:
@@ -103,7 +101,7 @@
         return drifting
 
     def _track_process(self, key: tuple[str, int]) -> list[ClockOffset]:
-        """Start to track a process, in place of others of the same node."""
+        """Start to track a process instead of previous processes of the same node."""
         for previous in [other for other in self._offsets if other[0] == key[0]]:
             del self._offsets[previous]
         if len(self._offsets) >= MAX_PROCESSES:
--- a/winchspan/leases/commands.py
+++ b/winchspan/leases/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the replicated log that change the lease table, with their JSON on disk and between nodes."""
+"""Commands of the replicated log that change the lease table, and their JSON encoding."""
 
 from __future__ import annotations
 
@@ -6,7 +6,9 @@
 from dataclasses import dataclass
 from typing import Any, Final
 
-JOURNAL_ROLE_PREFIX: Final = "work-"  # followed by the courier's name, the role that owns its journal
+JOURNAL_ROLE_PREFIX: Final = (
+    "work-"  # prefix, before a courier's name, of the role that owns the courier's journal
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,7 +18,7 @@
     role: str
     holder: str
     process_nonce: int
-    expected_epoch: int  # 0: no holder yet
+    expected_epoch: int  # 0 if the role has no holder yet
 
     def encode(self) -> bytes:
         """Encode the command as the data of a log entry."""
@@ -36,7 +38,7 @@
     owner: str
     replicas: tuple[str, ...]
     joining: tuple[str, ...]
-    expected_version: int  # 0: no placement yet
+    expected_version: int  # 0 if there is no placement yet
 
     def encode(self) -> bytes:
         """Encode the command as the data of a log entry."""
@@ -51,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeoverCompleted:
-    """Record that another node has taken over a courier's journal, so that its replicas are void."""
+    """Record that another node has taken over a courier's journal, whose replicas become obsolete."""
 
     owner: str
     epoch: int
@@ -65,7 +67,7 @@
 
 
 def decode_command(data: bytes) -> LeaseCommand | None:
-    """Decode the data of a log entry; None if it is no command of this version."""
+    """Decode the data of a log entry; return None if it is not a command of this version."""
     try:
         fields = json.loads(data)
         if "assign" in fields:
@@ -91,12 +93,12 @@
 
 
 def journal_role(owner: str) -> str:
-    """Return the role that owns a courier's journal."""
+    """Return the name of the role that owns a courier's journal."""
     return JOURNAL_ROLE_PREFIX + owner
 
 
 def journal_owner_of(data: bytes) -> str:
-    """Return the courier whose journal a command is about; empty if it is about none."""
+    """Return the courier whose journal a command refers to; empty if it refers to none."""
     try:
         fields = json.loads(data)
         return str(fields.get("place", fields.get("done", "")))
--- a/winchspan/leases/holder.py
+++ b/winchspan/leases/holder.py
@@ -1,4 +1,4 @@
-"""The holder's side of leases: it checks its clock right before each act."""
+"""The holder's side of leases: checks the lease against the clock immediately before each operation."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldLease:
-    """A lease as its holder knows it: the epoch, and the clock reading until which it may act, ms."""
+    """The holder's view of a lease: its epoch, and the clock reading at which it ends, ms."""
 
     epoch: int = 0
     valid_until_ms: float = 0.0
@@ -26,33 +26,33 @@
 class LeaseHolder:
     """The leases that one process holds, renews and releases.
 
-    A lease counts from when its renewal was requested, shortened by the drift of both clocks. The clock must
-    count the time that the machine sleeps.
+    The validity of a lease starts at the request for its renewal and is shortened by the drift of both
+    clocks. The clock must include the time during which the machine is suspended.
     """
 
     def __init__(self, node_name: str, process_nonce: int, timing: LeaseTiming) -> None:
-        """Start without a lease.
+        """Create a holder without leases.
 
         Args:
-            node_name: of this node.
-            process_nonce: of this process.
-            timing: the cluster's durations.
+            node_name: name of this node.
+            process_nonce: nonce of this process.
+            timing: lease durations of the cluster.
         """
         self.node_name = node_name
         self.process_nonce = process_nonce
         self.timing = timing
         self._held: dict[str, HeldLease] = {}  # by role
-        self._requested_at: dict[int, float] = {}  # by request number, ms
+        self._requested_ms: dict[int, float] = {}  # by request number, ms
         self._request_number = 0
-        self._surrendered: set[tuple[str, int]] = set()  # roles with epochs that are not renewed any more
+        self._surrendered: set[tuple[str, int]] = set()  # roles and epochs that are not renewed again
 
     def valid_epoch(self, role: str, now: float) -> int:
-        """Return the epoch under which this process may act now, 0 if it may not; call it before each act."""
+        """Return the epoch of a valid lease or 0; must be called immediately before each operation."""
         held = self._held.get(role, NO_LEASE)
         return held.epoch if now < held.valid_until_ms else 0
 
     def remaining_ms(self, role: str, now: float) -> float:
-        """Return for how long this process may still act."""
+        """Return the remaining validity of a role's lease, ms; 0 if there is no valid lease."""
         return max(0.0, self._held.get(role, NO_LEASE).valid_until_ms - now)
 
     def build_renewal(self, now: float, table: LeaseTable) -> RenewLeases | None:
@@ -64,16 +64,16 @@
         if not own_roles:
             return None
         self._request_number += 1
-        self._requested_at[self._request_number] = now
-        self._requested_at.pop(self._request_number - MAX_UNANSWERED_REQUESTS, None)
+        self._requested_ms[self._request_number] = now
+        self._requested_ms.pop(self._request_number - MAX_UNANSWERED_REQUESTS, None)
         return RenewLeases(self.node_name, self.process_nonce, self._request_number, own_roles)
 
     def handle_renewed(self, reply: LeasesRenewed) -> None:
-        """Extend the renewed leases, counted from when the renewal was requested."""
-        requested_at = self._requested_at.get(reply.number)
-        if requested_at is None:
+        """Extend the renewed leases, starting from the time at which the renewal was requested."""
+        requested_ms = self._requested_ms.get(reply.number)
+        if requested_ms is None:
             return
-        valid_until_ms = requested_at + self.timing.holder_validity_ms
+        valid_until_ms = requested_ms + self.timing.holder_validity_ms
         for role, epoch in reply.duties:
             held = self._held.get(role, NO_LEASE)
             if epoch < held.epoch:
@@ -82,21 +82,21 @@
             self._held[role] = HeldLease(epoch, max(valid_until_ms, previous_until_ms))
 
     def handle_release(self, request: ReleaseLease) -> LeaseReleased:
-        """Release a role, and forget all requests whose replies might bring it back."""
+        """Release a role, and discard pending renewal requests, whose replies could restore the lease."""
         if self._held.get(request.duty, NO_LEASE).epoch <= request.epoch:
             self._held.pop(request.duty, None)
-            self._requested_at.clear()
+            self._requested_ms.clear()
         return LeaseReleased(request.duty, request.epoch)
 
     def surrender(self, role: str) -> LeaseReleased:
-        """Release a role of this process's own accord; it is not renewed again under the same epoch."""
+        """Release a role without a request of the leader; it is not renewed again under the same epoch."""
         epoch = self._held.get(role, NO_LEASE).epoch
         self._surrendered = {key for key in self._surrendered if key[0] != role}
         self._surrendered.add((role, epoch))
         return self.handle_release(ReleaseLease(role, epoch))
 
     def handle_reassigned(self, role: str, lease: Lease) -> None:
-        """Drop a lease that a later assignment in the lease table has ended."""
+        """Remove a lease that a later assignment in the lease table has replaced."""
         if self._held.get(role, NO_LEASE).epoch < lease.epoch:
             self._held.pop(role, None)
 
--- a/winchspan/leases/lease_table.py
+++ b/winchspan/leases/lease_table.py
@@ -1,8 +1,8 @@
-"""The lease table: the state that the committed commands of the replicated log build up on each node.
+"""The lease table: the state machine that each node builds from the committed commands of the replicated log.
 
-It holds the lease of each role, the replica placement of each courier's journal, and the epochs of completed
-takeovers. An epoch is the index of the log entry that assigned the role: it only rises, and no two
-assignments share one.
+It contains the lease of each role, the replica placement of each courier's journal, and the epochs of
+completed takeovers. An epoch is the index of the log entry that assigned the role. Epochs therefore increase,
+and no two assignments have the same epoch.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """A role's holder, the process that acts for it, and the epoch of the assignment."""
+    """The holder of a role, the nonce of the holder's process, and the epoch of the assignment."""
 
     holder: str
     process_nonce: int
@@ -33,27 +33,27 @@
     """The replica nodes of a courier's journal."""
 
     replicas: tuple[str, ...]
-    joining: tuple[str, ...]  # to replace them once they have caught up
-    version: int  # index of the log entry that set it
+    joining: tuple[str, ...]  # nodes that replace `replicas` once they have caught up
+    version: int  # index of the log entry that set this placement
 
 
 class LeaseTable:
-    """The state machine of the replicated log."""
+    """Leases, replica placements and completed takeovers."""
 
     def __init__(self) -> None:
         self.leases: dict[str, Lease] = {}  # by role
         self.placements: dict[str, ReplicaPlacement] = {}  # by courier
-        self.completed_takeovers: dict[str, int] = {}  # by courier, the epoch of the takeover
+        self.completed_takeovers: dict[str, int] = {}  # epoch of the takeover by courier
 
     def apply(self, index: int, data: bytes) -> str:
         """Apply a committed command, unless its expected epoch or version is outdated.
 
         Args:
-            index: of the log entry.
-            data: of the log entry; what is no command of this version is ignored.
+            index: index of the log entry.
+            data: data of the log entry, ignored if it is not a command of this version.
 
         Returns:
-            The role that has another holder now; empty if none.
+            The role that the command has assigned; empty if none.
         """
         command = decode_command(data)
         match command:
@@ -83,7 +83,7 @@
         return json.dumps(rows, separators=(",", ":")).encode()
 
     def restore(self, data: bytes) -> None:
-        """Replace the table by that of a snapshot; empty data clears it."""
+        """Replace the table with the one from a snapshot; empty data clears the table."""
         rows = json.loads(data) if data else {}
         self.leases = {
             str(role): Lease(str(row[0]), int(row[1]), int(row[2]))
--- a/winchspan/leases/messages.py
+++ b/winchspan/leases/messages.py
@@ -1,8 +1,8 @@
 """Messages between lease holders and the leader.
 
-The fields bear the names that frames between nodes have for them (`duty` is a leased role, `owner` its
-holder, `life` the nonce of its process): a module of decisions may not import the encoder that could map
-them.
+The field names are the keys of the encoded frames between nodes: `duty` is a leased role, `owner` its holder,
+`life` the nonce of the holder's process. Modules of this package may not import the encoder, which could map
+other names to these keys.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 
     owner: str
     life: int
-    number: int  # tells the holder's requests apart
-    duties: tuple[tuple[str, int], ...]  # with their epochs
+    number: int  # number of the request, repeated by the reply
+    duties: tuple[tuple[str, int], ...]  # roles and epochs
 
 
 @dataclass(frozen=True, slots=True)
 class LeasesRenewed:
-    """The leader's reply with the leases that are renewed."""
+    """The leader's reply with the renewed leases."""
 
     number: int
-    duties: tuple[tuple[str, int], ...]
+    duties: tuple[tuple[str, int], ...]  # roles and epochs
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseLease:
-    """The leader's request that a live holder release a role."""
+    """The leader's request to a live holder to release a role."""
 
     duty: str
     epoch: int
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseReleased:
-    """The holder's reply: it does nothing more under that epoch."""
+    """The holder's reply: it performs no further operation under the epoch."""
 
     duty: str
     epoch: int
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseSurrendered:
-    """A holder's notice that it has released a role of its own accord, as on shutdown."""
+    """A holder's notice that it has released a role without a request, for example on shutdown."""
 
     duty: str
     epoch: int
--- a/winchspan/membership/__init__.py
+++ b/winchspan/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Cluster membership and failure detection: SWIM with the Lifeguard extensions, free of I/O."""
+"""Cluster membership and failure detection: SWIM with the Lifeguard extensions, without I/O."""
--- a/winchspan/membership/actions.py
+++ b/winchspan/membership/actions.py
@@ -1,4 +1,4 @@
-"""What the membership protocol asks its driver to do: datagrams to send and events to report."""
+"""Actions that the membership protocol returns to its driver: datagrams to send and events to report."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeStateChanged:
-    """The believed state of a node has changed; `state` is None if it was removed from the members."""
+    """The local view of a node's state has changed; `state` is None if the node was removed."""
 
     name: str
     state: NodeState | None
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeRestarted:
-    """A node runs in a new process: nothing decided in the previous one is its own."""
+    """A node runs in a new process, which has none of the previous process's state."""
 
     name: str
     process_nonce: int
--- a/winchspan/membership/config.py
+++ b/winchspan/membership/config.py
@@ -5,22 +5,22 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-INDIRECT_PROBE_COUNT: Final = 3  # helpers asked for an indirect probe (SWIM's k)
+INDIRECT_PROBE_COUNT: Final = 3  # number of helpers for an indirect probe (SWIM's k)
 MAX_LOCAL_HEALTH: Final = 8  # saturation of the local health multiplier (Lifeguard's S)
 MAX_PIGGYBACKED_UPDATES: Final = 8  # with names of 64 bytes a datagram stays below 1,200 bytes
-DISSEMINATION_FACTOR: Final = 4  # times log10 of the cluster size that an update is sent (SWIM's lambda)
-MAX_SUSPICION_FACTOR: Final = 6  # longest over shortest suspicion timeout (Lifeguard's beta)
-ABSENT_PROBE_PERIODS: Final = 5  # probe intervals between two pings of an absent node
-DELAYED_TICK_SHARE: Final = 0.25  # of a probe interval by which a tick may be late before timeouts move
-CONFLICT_THRESHOLD: Final = 3  # sightings of a superseded process; fewer may be datagrams that came late
-MAX_TRACKED_NONCES: Final = 16  # other processes under the own name that are counted
-LEAVE_FANOUT: Final = 5  # nodes told directly of a leave; the others learn it by gossip
-MAX_PROXY_PROBES: Final = 64  # indirect probes in flight for other nodes
+DISSEMINATION_FACTOR: Final = 4  # transmissions of an update per log10 of the cluster size (SWIM's lambda)
+MAX_SUSPICION_FACTOR: Final = 6  # ratio of the longest to the shortest suspicion timeout (Lifeguard's beta)
+ABSENT_PROBE_PERIODS: Final = 5  # probe intervals between two pings of absent nodes
+DELAYED_TICK_SHARE: Final = 0.25  # of a probe interval; a tick that is later postpones the timeouts
+CONFLICT_THRESHOLD: Final = 3  # reappearances of a superseded process; fewer may be late datagrams
+MAX_TRACKED_NONCES: Final = 16  # number of other processes under the local name that are counted
+LEAVE_FANOUT: Final = 5  # number of nodes notified of a leave directly; the others receive it by gossip
+MAX_PROXY_PROBES: Final = 64  # number of indirect probes in flight for other nodes
 
 
 @dataclass(frozen=True, slots=True)
 class SwimTiming:
-    """Timing for a local network; it must be the same on all nodes.
+    """Timing for a local network; every node must use the same values.
 
     Attributes:
         probe_interval_ms: time between two probes (SWIM's T').
@@ -40,8 +40,8 @@
 
     Attributes:
         node_name: name of the local node.
-        process_nonce: random number over 0 that identifies this process.
-        seed: seed of the choice of probe targets and helpers.
+        process_nonce: random positive number that identifies this process.
+        seed: seed of the random choice of probe targets and helpers.
         timing: timing of the cluster.
     """
 
--- a/winchspan/membership/dissemination.py
+++ b/winchspan/membership/dissemination.py
@@ -16,26 +16,26 @@
 
 
 class DisseminationBuffer:
-    """The latest update about each node that is still to be spread, least often sent first."""
+    """The latest update about each node that still has to be sent, ordered by the number of transmissions."""
 
     def __init__(self) -> None:
         self._entries: dict[str, _BufferedUpdate] = {}
 
     def enqueue(self, update: MembershipUpdate) -> None:
-        """Spread an update in place of an earlier one about the same node."""
+        """Add an update, replacing an earlier update about the same node."""
         self._entries[update.name] = _BufferedUpdate(update)
 
     def discard(self, name: str) -> None:
-        """Stop spreading what is known of a node."""
+        """Remove the update about a node."""
         self._entries.pop(name, None)
 
     def take(self, max_count: int, recipient: str, cluster_size: int) -> list[MembershipUpdate]:
         """Return the updates for one datagram and count them as sent.
 
         Args:
-            max_count: how many updates fit.
-            recipient: node that gets the datagram; updates about itself are left out.
-            cluster_size: nodes of the cluster, from which the number of transmissions follows.
+            max_count: maximum number of updates.
+            recipient: recipient of the datagram, which gets no update about itself.
+            cluster_size: number of nodes in the cluster, which determines the number of transmissions.
         """
         max_sent_count = DISSEMINATION_FACTOR * ceil(log10(cluster_size + 1))
         selected: list[MembershipUpdate] = []
--- a/winchspan/membership/local_health.py
+++ b/winchspan/membership/local_health.py
@@ -1,4 +1,4 @@
-"""Local health multiplier (Lifeguard, "local health"): a node that may be slow itself accuses later."""
+"""Local health multiplier (Lifeguard, "local health"): a slow node suspects others later."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class LocalHealth:
-    """Saturating score of signs that the local node is slow; 0 is healthy.
+    """Saturating score of evidence that the local node is slow; 0 is healthy.
 
     Attributes:
-        score: present score, 0 to MAX_LOCAL_HEALTH.
+        score: current score, 0 to MAX_LOCAL_HEALTH.
     """
 
     def __init__(self) -> None:
@@ -21,9 +21,9 @@
         return 1 + self.score
 
     def degrade(self, steps: int = 1) -> None:
-        """Count signs that the local node is slow."""
+        """Count evidence that the local node is slow."""
         self.score = min(MAX_LOCAL_HEALTH, self.score + steps)
 
     def recover(self) -> None:
-        """Count a sign that the local node is in time."""
+        """Count evidence that the local node is on time."""
         self.score = max(0, self.score - 1)
--- a/winchspan/membership/membership_view.py
+++ b/winchspan/membership/membership_view.py
@@ -24,12 +24,12 @@
 
 
 class MembershipView:
-    """What the local node believes of itself and of the others.
+    """The local node's view of itself and of the other nodes.
 
     Attributes:
         node_name: name of the local node.
         process_nonce: random number that identifies this process.
-        incarnation: incarnation of the local node; raised to refute what others say of it.
+        incarnation: incarnation of the local node; raised to refute statements of other nodes about it.
         is_leaving: whether the local node has announced that it leaves.
         has_name_conflict: whether another running process uses this node's name.
         records: the other nodes by name.
@@ -39,14 +39,14 @@
     def __init__(
         self, config: SwimConfig, others: Iterable[str], now: float, health: LocalHealth, outbox: list[Action]
     ) -> None:
-        """Start with members that have not been heard of.
+        """Create a view of members in unknown states.
 
         Args:
             config: identity and parameters of the local node.
             others: names of the other nodes; the local one may be among them.
             now: time in ms.
             health: degraded when the local node has to refute a suspicion.
-            outbox: gets the events in their order.
+            outbox: list to which events are appended in order.
         """
         self.node_name = config.node_name
         self.process_nonce = config.process_nonce
@@ -61,7 +61,7 @@
         self._health = health
         self._outbox = outbox
         self._dissemination = DisseminationBuffer()
-        self._foreign_nonces: Counter[int] = Counter()  # sightings of other processes under the own name
+        self._foreign_nonces: Counter[int] = Counter()  # messages of other processes under the local name
 
     # ---- queries -----------------------------------------------------------------------------------------
     def active_members(self) -> list[str]:
@@ -78,16 +78,18 @@
         return {state: counts[state] for state in ("alive", "suspect", "gone", "left", "unknown")}
 
     def suspicion_deadlines_ms(self) -> list[float]:
-        """Return when each suspected node is declared gone."""
+        """Return the times at which the suspected nodes are declared gone."""
         return [
-            record.suspicion_ends_ms for record in self.records.values() if record.state is NodeState.SUSPECT
+            record.suspicion_deadline_ms
+            for record in self.records.values()
+            if record.state is NodeState.SUSPECT
         ]
 
     # ---- members -----------------------------------------------------------------------------------------
     def reconfigure(self, now: float, others: Iterable[str]) -> None:
-        """Replace the set of members; a node that is missing is removed for good."""
-        wanted = {name for name in others if name != self.node_name}
-        for name in sorted(self.records.keys() - wanted):
+        """Replace the set of members, and remove all other nodes."""
+        members = {name for name in others if name != self.node_name}
+        for name in sorted(self.records.keys() - members):
             record = self.records.pop(name)
             self._dissemination.discard(name)
             self._outbox.append(
@@ -95,7 +97,7 @@
                     name, None, record.incarnation, record.process_nonce, "it is no member any more"
                 )
             )
-        for name in sorted(wanted - self.records.keys()):
+        for name in sorted(members - self.records.keys()):
             self.records[name] = NodeRecord(state_since_ms=now)
 
     # ---- suspicions --------------------------------------------------------------------------------------
@@ -106,15 +108,15 @@
             self.handle_update(now, record.as_update(name, NodeState.SUSPECT, self.node_name))
 
     def postpone_suspicions(self, delay_ms: float) -> None:
-        """Move the timeouts of all suspicions."""
+        """Postpone the timeouts of all suspicions."""
         for record in self.records.values():
             if record.state is NodeState.SUSPECT:
-                record.suspicion_ends_ms += delay_ms
+                record.suspicion_deadline_ms += delay_ms
 
     def expire_suspicions(self, now: float) -> None:
-        """Declare the nodes gone whose suspicion has lasted its full time."""
+        """Declare the nodes gone whose suspicion timeout has elapsed."""
         for name, record in self.records.items():
-            if record.state is not NodeState.SUSPECT or record.suspicion_ends_ms > now:
+            if record.state is not NodeState.SUSPECT or record.suspicion_deadline_ms > now:
                 continue
             update = record.as_update(name, NodeState.GONE, self.node_name)
             accusers = ", ".join(sorted(record.accusers))
@@ -125,12 +127,12 @@
             return
         member_count = len(self.active_members()) + 1
         timeout_ms = suspicion_timeout_ms(self._timing, member_count, len(record.accusers))
-        record.suspicion_ends_ms = record.state_since_ms + timeout_ms
+        record.suspicion_deadline_ms = record.state_since_ms + timeout_ms
         self._dissemination.enqueue(update)
 
     # ---- updates -----------------------------------------------------------------------------------------
     def handle_update(self, now: float, update: MembershipUpdate) -> None:
-        """Process an update from another node, or a suspicion of the local one."""
+        """Process an update from another node, or a suspicion raised by the local node."""
         if not is_valid(update.incarnation, update.process_nonce):
             self.dropped[DROPPED_INVALID_NUMBER] += 1
         elif update.name == self.node_name:
@@ -141,7 +143,7 @@
             self.apply(now, update, f"{update.suspected_by or 'others'} said so")
 
     def apply(self, now: float, update: MembershipUpdate, reason: str) -> None:
-        """Apply an update that overrides the record; a repeated suspicion may shorten its timeout."""
+        """Apply an update that overrides the record; a confirmed suspicion may shorten the timeout."""
         record = self.records[update.name]
         if not record.is_superseded_by(update):
             if record.is_confirmed_by(update):
@@ -164,13 +166,13 @@
             self._confirm_suspicion(record, update)
 
     def _handle_process_change(self, record: NodeRecord, update: MembershipUpdate) -> None:
-        """Report a restart, or a conflict once the previous process keeps coming back."""
+        """Report a restart, or a name conflict if the previous process repeatedly reappears."""
         if update.process_nonce == record.previous_nonce:
-            record.return_count += 1
+            record.reappearance_count += 1
         record.previous_nonce = record.process_nonce
         if record.has_name_conflict:
             return
-        if record.return_count >= CONFLICT_THRESHOLD:
+        if record.reappearance_count >= CONFLICT_THRESHOLD:
             record.has_name_conflict = True
             self._outbox.append(NameConflictDetected(update.name))
         else:
@@ -186,16 +188,16 @@
             return
         if self.incarnation <= update.incarnation < MAX_INCARNATION:
             self.incarnation = update.incarnation + 1
-            self._health.degrade()  # to be suspected is a sign of slowness (Lifeguard)
+            self._health.degrade()  # a suspicion by others is evidence of slowness (Lifeguard)
             self._announce_self()
 
     def handle_foreign_process(self, process_nonce: int, incarnation: int) -> None:
-        """Override another process that uses this node's name: the previous one, or one that still runs."""
+        """Override another process that uses this node's name: the previous or a concurrent one."""
         if not is_valid(incarnation, process_nonce) or incarnation == MAX_INCARNATION:
             self.dropped[DROPPED_INVALID_NUMBER] += 1
             return
         if incarnation < self.incarnation:
-            return  # an overridden statement that came late
+            return  # a late statement that is already overridden
         if process_nonce in self._foreign_nonces or len(self._foreign_nonces) < MAX_TRACKED_NONCES:
             self._foreign_nonces[process_nonce] += 1
         if self._foreign_nonces[process_nonce] >= CONFLICT_THRESHOLD and not self.has_name_conflict:
@@ -211,7 +213,7 @@
 
     # ---- dissemination -----------------------------------------------------------------------------------
     def piggyback(self, recipient: str) -> tuple[MembershipUpdate, ...]:
-        """Return the recipient's own believed state (Lifeguard, "buddy system"), then the newest updates."""
+        """Return the recipient's state in this view (Lifeguard, "buddy system"), then the newest updates."""
         updates: list[MembershipUpdate] = []
         record = self.records.get(recipient)
         if record is not None and record.state is not None:
@@ -223,5 +225,5 @@
 
 
 def is_valid(incarnation: int, process_nonce: int) -> bool:
-    """Whether the numbers of a message or an update can be those of a process."""
+    """Return whether the incarnation and the process nonce of a message or an update are in range."""
     return 0 <= incarnation <= MAX_INCARNATION and process_nonce >= 1
--- a/winchspan/membership/messages.py
+++ b/winchspan/membership/messages.py
@@ -1,7 +1,7 @@
-"""SWIM protocol messages. Each message with its piggybacked updates fits one datagram.
+"""SWIM protocol messages. Each message fits one datagram, including its piggybacked updates.
 
-Node names are those of the operator's file. A process nonce is a random number over 0 that tells the
-processes which have run under one node name apart.
+Node names are those of the operator's file. A process nonce is a random positive number that distinguishes
+the processes that have run under one node name.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from enum import IntEnum
 from typing import Final
 
-MAX_INCARNATION: Final = 1 << 53  # larger numbers are not exact in every reader's number type
+MAX_INCARNATION: Final = 1 << 53  # larger numbers are not exact in a double, which other decoders may use
 
 
 class NodeState(IntEnum):
@@ -27,11 +27,11 @@
     """A statement about the state of one node, spread by piggybacking (SWIM 4.1).
 
     Attributes:
-        name: the node that the statement is about.
-        state: its state.
-        incarnation: the incarnation of the node that the statement holds for.
-        process_nonce: the process of the node that the statement holds for.
-        suspected_by: the node that raised the suspicion; empty if there is none.
+        name: name of the node that the statement describes.
+        state: state of the node.
+        incarnation: incarnation of the node to which the statement applies.
+        process_nonce: nonce of the node's process to which the statement applies.
+        suspected_by: node that raised the suspicion; empty if there is none.
     """
 
     name: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """Acknowledgement by `target`, either its own or one relayed to the requester of an indirect probe."""
+    """Acknowledgement by `target`, sent directly or relayed to the requester of an indirect probe."""
 
     sequence_number: int
     target: str
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Nack:
-    """Reply of a helper that `target` has not acknowledged so far (Lifeguard, "local health")."""
+    """Reply of a helper that `target` has not acknowledged in time (Lifeguard, "local health")."""
 
     sequence_number: int
     target: str
@@ -79,12 +79,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """One message with the identity of its sender and the updates that it carries.
+    """One message with the identity of its sender and piggybacked updates.
 
     Attributes:
         source: name of the sending node.
         incarnation: incarnation of the sender.
-        process_nonce: process of the sender.
+        process_nonce: nonce of the sender's process.
         is_leaving: whether the sender has announced that it leaves.
         body: the message.
         updates: piggybacked statements about nodes.
--- a/winchspan/membership/node_record.py
+++ b/winchspan/membership/node_record.py
@@ -11,33 +11,33 @@
 
 @dataclass(slots=True)
 class NodeRecord:
-    """What is known of another node.
+    """The local view of another node.
 
     Attributes:
-        state: believed state; None until the node has been heard of.
+        state: last known state; None before the first update about the node.
         incarnation: highest known incarnation.
-        process_nonce: process that this incarnation belongs to.
+        process_nonce: nonce of the process with this incarnation.
         state_since_ms: time of the last change of `state`.
-        suspicion_ends_ms: time at which a suspected node is declared gone.
+        suspicion_deadline_ms: time at which a suspected node is declared gone.
         accusers: nodes that have raised or confirmed the suspicion.
-        previous_nonce: process before this one; 0 if none is known.
-        return_count: how often a previous process has spoken after a later one.
-        has_name_conflict: whether two running processes use the name.
+        previous_nonce: nonce of the previous process; 0 if unknown.
+        reappearance_count: number of updates from the previous process after those of a later one.
+        has_name_conflict: whether two running processes use the node name.
     """
 
     state: NodeState | None = None
     incarnation: int = 0
     process_nonce: int = 0
     state_since_ms: float = 0.0
-    suspicion_ends_ms: float = 0.0
+    suspicion_deadline_ms: float = 0.0
     accusers: set[str] = field(default_factory=set)
     previous_nonce: int = 0
-    return_count: int = 0
+    reappearance_count: int = 0
     has_name_conflict: bool = False
 
     @property
     def is_active(self) -> bool:
-        """Whether the node takes part in the cluster, suspected or not."""
+        """Whether the node is alive, suspected or not."""
         return self.state in (NodeState.ALIVE, NodeState.SUSPECT)
 
     def is_superseded_by(self, update: MembershipUpdate) -> bool:
@@ -47,7 +47,7 @@
         return (update.incarnation, update.state) > (self.incarnation, self.state)
 
     def is_confirmed_by(self, update: MembershipUpdate) -> bool:
-        """Whether an update repeats the present suspicion."""
+        """Whether an update repeats the current suspicion."""
         return (
             update.state is self.state is NodeState.SUSPECT
             and update.incarnation == self.incarnation
@@ -59,7 +59,7 @@
         return MembershipUpdate(name, state, self.incarnation, self.process_nonce, suspected_by)
 
     def add_accuser(self, accuser: str) -> bool:
-        """Count an independent accuser; returns False if it adds nothing."""
+        """Add an accuser; return whether it is a further one within the limit."""
         if accuser in self.accusers or len(self.accusers) > INDIRECT_PROBE_COUNT:
             return False
         self.accusers.add(accuser)
@@ -67,15 +67,15 @@
 
 
 def suspicion_timeout_ms(timing: SwimTiming, member_count: int, accuser_count: int) -> float:
-    """Return how long a suspicion lasts (Lifeguard, "dynamic suspicion").
+    """Return the timeout of a suspicion in ms (Lifeguard, "dynamic suspicion").
 
-    It starts at MAX_SUSPICION_FACTOR times the shortest timeout and falls with the logarithm of the number
-    of independent accusers.
+    The timeout starts at MAX_SUSPICION_FACTOR times the shortest timeout and decreases with the logarithm of
+    the number of independent accusers.
 
     Args:
         timing: timing of the cluster.
-        member_count: active nodes, the local one included.
-        accuser_count: independent accusers, at least 1.
+        member_count: number of active nodes, including the local one.
+        accuser_count: number of independent accusers, at least 1.
     """
     scale = max(1.0, log10(member_count))
     shortest_ms = timing.suspicion_multiplier * scale * timing.probe_interval_ms
--- a/winchspan/membership/probes.py
+++ b/winchspan/membership/probes.py
@@ -1,4 +1,4 @@
-"""Probes in flight: the node's own probe, those it makes for others, and the order of targets."""
+"""Probes in flight: the local node's probe, indirect probes for other nodes, and the order of targets."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
     """The probe of the current protocol period.
 
     Attributes:
-        sequence_number: number that its acknowledgement must carry.
-        target: node that is probed.
+        sequence_number: number that the acknowledgement must carry.
+        target: probed node.
         indirect_at_ms: time at which indirect probes are requested.
-        deadline_ms: time at which the probe has failed.
-        silent_helpers: helpers asked for an indirect probe that have not replied.
+        deadline_ms: time at which the probe fails.
+        silent_helpers: helpers that have not replied to the request for an indirect probe.
         is_indirect: whether indirect probes have been requested.
-        is_acknowledged: whether the target has answered.
+        is_acknowledged: whether the target has acknowledged the probe.
     """
 
     sequence_number: int
@@ -33,7 +33,7 @@
 
     @property
     def next_step_ms(self) -> float:
-        """When the probe needs attention."""
+        """Time of the next timeout of the probe."""
         return self.deadline_ms if self.is_indirect else self.indirect_at_ms
 
     def matches(self, sequence_number: int, target: str) -> bool:
@@ -41,19 +41,19 @@
         return self.sequence_number == sequence_number and self.target == target
 
     def postpone(self, delay_ms: float) -> None:
-        """Move the timeouts."""
+        """Postpone the timeouts of the probe."""
         self.indirect_at_ms += delay_ms
         self.deadline_ms += delay_ms
 
 
 @dataclass(slots=True)
 class ProxyProbe:
-    """An indirect probe made for another node.
+    """An indirect probe on behalf of another node.
 
     Attributes:
-        requester: node that asked for it.
+        requester: node that requested the probe.
         requester_sequence_number: number that the reply to the requester carries.
-        target: node that is probed.
+        target: probed node.
         deadline_ms: time at which the requester gets a Nack.
     """
 
@@ -64,7 +64,7 @@
 
 
 class ProxyProbeTable:
-    """Indirect probes in flight for other nodes, by their sequence number at this node."""
+    """Indirect probes in flight for other nodes, by local sequence number."""
 
     def __init__(self) -> None:
         self._probes: dict[int, ProxyProbe] = {}
@@ -73,11 +73,11 @@
         return len(self._probes)
 
     def add(self, sequence_number: int, probe: ProxyProbe) -> None:
-        """Wait for the acknowledgement of a probe."""
+        """Add a probe that awaits its acknowledgement."""
         self._probes[sequence_number] = probe
 
     def acknowledge(self, source: str, ack: Ack) -> ProxyProbe | None:
-        """Remove and return the probe that an acknowledgement answers."""
+        """Remove and return the probe that an acknowledgement matches; None if there is none."""
         probe = self._probes.get(ack.sequence_number)
         if probe is None or not probe.target == ack.target == source:
             return None
@@ -91,7 +91,7 @@
         return list(expired.values())
 
     def postpone(self, delay_ms: float) -> None:
-        """Move all deadlines."""
+        """Postpone all deadlines."""
         for probe in self._probes.values():
             probe.deadline_ms += delay_ms
 
@@ -102,13 +102,13 @@
 
 @dataclass(slots=True)
 class ReachabilityProbe:
-    """A probe of one node by this node and by others at the same time.
+    """A simultaneous probe of one node by this node and by helpers.
 
     Attributes:
-        sequence_number: number that its acknowledgements must carry.
-        deadline_ms: time at which all that answer have answered.
-        is_reached: whether the target has acknowledged it itself.
-        is_reached_by_others: whether another node has reached the target.
+        sequence_number: number that the acknowledgements must carry.
+        deadline_ms: time at which the result is final.
+        is_reached: whether the target has acknowledged the probe directly.
+        is_reached_by_others: whether a helper has reached the target.
     """
 
     sequence_number: int
@@ -118,26 +118,26 @@
 
 
 class ReachabilityProbes:
-    """The latest reachability probe of each node that is asked about."""
+    """The latest reachability probe of each checked node."""
 
     def __init__(self) -> None:
         self._probes: dict[str, ReachabilityProbe] = {}
 
     def retain(self, names: Container[str]) -> None:
-        """Forget the probes of all other nodes."""
+        """Remove the probes of all nodes except the given ones."""
         self._probes = {name: probe for name, probe in self._probes.items() if name in names}
 
     def is_due(self, now: float, target: str) -> bool:
-        """Return whether a node has no probe whose outcome is still to come."""
+        """Return whether a node has no probe in flight."""
         probe = self._probes.get(target)
         return probe is None or probe.deadline_ms <= now
 
     def add(self, target: str, probe: ReachabilityProbe) -> None:
-        """Wait for the acknowledgements of a probe."""
+        """Add a probe that awaits its acknowledgements."""
         self._probes[target] = probe
 
     def acknowledge(self, source: str, ack: Ack) -> None:
-        """Note an acknowledgement of the target, or of a node that has reached it."""
+        """Record an acknowledgement by the target, or by a helper that has reached it."""
         probe = self._probes.get(ack.target)
         if probe is None or probe.sequence_number != ack.sequence_number:
             return
@@ -147,7 +147,7 @@
             probe.is_reached_by_others = True
 
     def is_reached_by_others_only(self, now: float, target: str) -> bool:
-        """Return whether others have reached a node and this node has not, by the latest probe."""
+        """Return whether only helpers, not this node, have reached a node by its latest probe."""
         probe = self._probes.get(target)
         if probe is None or now < probe.deadline_ms:
             return False
@@ -155,7 +155,7 @@
 
 
 class ProbeRotation:
-    """Round-robin choice of targets in a random order that is drawn anew for each round (SWIM 4.3)."""
+    """Round-robin choice of probe targets, reshuffled for each round (SWIM 4.3)."""
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
@@ -173,5 +173,5 @@
         return self._remaining.pop() if self._remaining else None
 
     def retain(self, names: Container[str]) -> None:
-        """Drop the nodes that are no longer members."""
+        """Remove the nodes that are no longer members."""
         self._remaining = [name for name in self._remaining if name in names]
--- a/winchspan/membership/swim.py
+++ b/winchspan/membership/swim.py
@@ -1,8 +1,8 @@
-"""SWIM failure detector of one node: datagrams and times in, datagrams and events out. No I/O, no clock.
+"""SWIM failure detector of one node: takes datagrams and clock readings, and returns actions. Sans-I/O.
 
-SWIM (Das, Gupta, Motivala 2002): dissemination by piggybacking (4.1), suspicion and incarnations (4.2),
-round-robin probe targets (4.3). Lifeguard (Dadgar, Phillips, Currey 2017): local health multiplier, dynamic
-suspicion, buddy system. Deviations of this implementation: docs/owners.md.
+Implements SWIM (Das, Gupta, Motivala 2002): dissemination by piggybacking (4.1), suspicion and incarnations
+(4.2), round-robin probe targets (4.3); and Lifeguard (Dadgar, Phillips, Currey 2017): local health
+multiplier, dynamic suspicion, buddy system. docs/owners.md describes the deviations of this implementation.
 
 All times are readings of one clock in ms.
 """
@@ -99,7 +99,7 @@
 
     @property
     def incarnation(self) -> int:
-        """Incarnation of the local node; it is raised to refute what others say of it."""
+        """Incarnation of the local node; raised to refute statements of other nodes about it."""
         return self._view.incarnation
 
     @property
@@ -137,7 +137,7 @@
 
     @property
     def next_tick_ms(self) -> float:
-        """When `tick` is due."""
+        """Time at which `tick` is due."""
         times = [self._next_period_ms]
         if self._probe is not None and not self._probe.is_acknowledged:
             times.append(self._probe.next_step_ms)
@@ -150,7 +150,7 @@
         """Process every timeout that is due."""
         late_ms = now - self.next_tick_ms
         if late_ms > DELAYED_TICK_SHARE * self.timing.probe_interval_ms:
-            # Leave time to read the datagrams that arrived meanwhile.
+            # Allow time to read the datagrams that arrived during the delay.
             self._handle_delayed_tick(late_ms + self.timing.probe_timeout_ms)
         if not self.is_leaving:
             self._advance_probe(now)
@@ -162,7 +162,7 @@
         return self._take_actions()
 
     def handle_datagram(self, now: float, datagram: Datagram) -> list[Action]:
-        """Process a datagram; an invalid one is counted and changes nothing."""
+        """Process a datagram; an invalid datagram is counted and otherwise ignored."""
         if datagram.source not in self.records:
             self._handle_unknown_source(datagram)
             return self._take_actions()
@@ -186,7 +186,7 @@
         return self._take_actions()
 
     def leave(self, now: float) -> list[Action]:
-        """Announce at `now` that the node leaves; from then on it answers probes but makes none."""
+        """Announce that the node leaves; from now on it answers probes but sends none."""
         self._view.is_leaving = True
         self._probe = None
         active = self.active_members()
@@ -195,7 +195,7 @@
         return self._take_actions()
 
     def reconfigure(self, now: float, others: Iterable[str]) -> list[Action]:
-        """Replace the set of members; a node that is missing is removed for good."""
+        """Replace the set of members, and remove all other nodes."""
         self._view.reconfigure(now, others)
         if self._probe is not None and self._probe.target not in self.records:
             self._probe = None
@@ -204,7 +204,7 @@
 
     # ---- reachability ------------------------------------------------------------------------------------
     def probe_reachability(self, now: float, targets: Container[str]) -> list[Action]:
-        """Probe some nodes directly and through others at once; all others are asked about no more."""
+        """Probe the given nodes directly and through helpers at once, and discard probes of other nodes."""
         self._reachability_probes.retain(targets)
         for target in self.active_members():
             if target in targets and self._reachability_probes.is_due(now, target):
@@ -212,25 +212,25 @@
         return self._take_actions()
 
     def is_reached_by_others_only(self, now: float, target: str) -> bool:
-        """Return whether others have reached a node and this node has not, by the latest probe."""
+        """Return whether only helpers, not this node, have reached a node by its latest probe."""
         return self._reachability_probes.is_reached_by_others_only(now, target)
 
     def _begin_reachability_probe(self, now: float, target: str) -> None:
         number = self._next_sequence_number()
-        probe = ReachabilityProbe(number, now + 2 * self.timing.probe_timeout_ms)  # a helper's comes last
+        probe = ReachabilityProbe(number, now + 2 * self.timing.probe_timeout_ms)  # a helper's Ack comes last
         self._reachability_probes.add(target, probe)
         self._send(target, Ping(number, target))
         for helper in self._choose_helpers(target):
             self._send(helper, PingRequest(number, target))
 
     def _choose_helpers(self, target: str) -> list[str]:
-        """Return the nodes that are asked for indirect probes of a node."""
+        """Return random helpers for indirect probes of a node."""
         helpers = [name for name in self.active_members() if name != target]
         return self._rng.sample(helpers, min(INDIRECT_PROBE_COUNT, len(helpers)))
 
     # ---- probes ------------------------------------------------------------------------------------------
     def _handle_delayed_tick(self, delay_ms: float) -> None:
-        """Postpone all timeouts, for replies may lie unread, and lower the local health (Lifeguard)."""
+        """Postpone all timeouts, because replies may be unread, and degrade the local health (Lifeguard)."""
         self._health.degrade()
         if self._probe is not None:
             self._probe.postpone(delay_ms)
@@ -255,7 +255,7 @@
         self._send(target, Ping(probe.sequence_number, target))
 
     def _ping_absent_node(self) -> None:
-        """Now and then try a node that is not active, so that two halves of a split find each other."""
+        """Periodically ping a node that is not active, so that a healed partition merges again."""
         absent = [name for name, record in self.records.items() if not record.is_active]
         is_due = self._period_count % ABSENT_PROBE_PERIODS == 1
         if absent and (is_due or len(absent) == len(self.records)):
@@ -279,7 +279,7 @@
 
     def _fail_probe(self, now: float, probe: Probe) -> None:
         self._probe = None
-        # Each helper that sent neither Ack nor Nack hints that the local node is slow (Lifeguard).
+        # Each helper that sent neither Ack nor Nack is evidence that the local node is slow (Lifeguard).
         self._health.degrade(len(probe.silent_helpers) or int(not probe.is_indirect))
         self._view.suspect(now, probe.target)
 
@@ -339,7 +339,7 @@
         self._actions.append(SendDatagram(recipient, datagram))
 
     def _take_actions(self) -> list[Action]:
-        """Return the pending actions, each datagram in the incarnation of this moment."""
+        """Return the pending actions, with the current incarnation in each datagram."""
         actions = [self._stamp(action) for action in self._actions]
         self._actions.clear()
         return actions
--- a/winchspan/model_checking/__init__.py
+++ b/winchspan/model_checking/__init__.py
@@ -1,5 +1,5 @@
-"""Bounded model checkers over the daemon's own state machines.
+"""Bounded model checkers of the couriers' state machines for leases and replication.
 
-`checker` explores every run of a model within a bound. There are two models: `leases` (consensus, leases and
-fencing) and `replication` (replicated journals and takeover); both use the messages in flight of `network`.
+`checker` explores all runs of a model within given bounds. There are two models: `leases` (consensus, leases
+and fencing) and `replication` (replicated journals and takeover). Both use the model network in `network`.
 """
--- a/winchspan/model_checking/checker.py
+++ b/winchspan/model_checking/checker.py
@@ -1,10 +1,10 @@
-"""Delay-bounded exploration: plays every run of a world with at most so many deviations from its quiet run.
+"""Delay-bounded exploration: executes all runs of a model with a bounded number of injected faults.
 
-A world advances in rounds. In a quiet round all messages are delivered and time passes to the next timer; a
-deviation is a fault with its place and its duration, begun at the start of a round. All runs of so many
-rounds with so many deviations are played, each state once (Emmi, Qadeer and Rakamaric 2011, who show that few
-deviations find most faults). The extent of an exploration is stated as rounds, deviations and the number of
-states.
+A model advances in rounds. In a round without faults, all messages are delivered and time passes to the next
+timer. A fault, with its location and duration, begins at the start of a round. The checker executes all runs
+within a number of rounds and a number of faults and expands each state once (Emmi, Qadeer and Rakamaric 2011,
+who show that few deviations from the default schedule find most defects). The extent of an exploration is
+given as rounds, faults and the number of states.
 """
 
 from __future__ import annotations
@@ -16,51 +16,51 @@
 from hashlib import blake2b
 from typing import Final, Generic, NamedTuple, Protocol, TypeVar
 
-ChoiceT = TypeVar("ChoiceT")
-MAX_TIME_DIFFERENCE_MS: Final = 1e5  # beyond it only before or after the present is told apart
-# Constants of a run, and references to state that is listed under its owner.
+FaultT = TypeVar("FaultT")
+MAX_TIME_DIFFERENCE_MS: Final = 1e5  # times further from now only count as past or future
+# Constants of a run, and references to state that is included under its owner.
 SKIPPED_ATTRIBUTES: Final = frozenset({"_rng", "timing", "_shared_state"})
 
 
 class InvariantViolationError(AssertionError):
-    """An invariant does not hold."""
+    """An invariant of the model is violated."""
 
 
-class World(Protocol[ChoiceT]):
-    """A world that can be copied by pickle."""
+class Model(Protocol[FaultT]):
+    """A model that the checker can explore; its instances support pickle."""
 
-    def choices(self) -> Sequence[ChoiceT]:
-        """Return the deviations that may begin now; each is a value that people can read."""
+    def available_faults(self) -> Sequence[FaultT]:
+        """Return the faults that may begin now; their text appears in counterexamples."""
 
-    def deviate(self, choice: ChoiceT) -> None:
-        """Begin a deviation."""
+    def inject_fault(self, fault: FaultT) -> None:
+        """Begin a fault."""
 
-    def play_round(self) -> None:
-        """Play a round.
+    def run_round(self) -> None:
+        """Execute a round.
 
         Raises:
             InvariantViolationError: if an invariant does not hold.
         """
 
     def key(self) -> Hashable:
-        """Return what tells this state from others that may continue differently."""
+        """Return a canonical value that differs between states that may continue differently."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExplorationResult:
-    """The extent of an exploration and what it has found.
+    """The extent and the result of an exploration.
 
     Attributes:
-        rounds: of each run.
-        deviations: that a run had at most.
-        states: distinct ones, at the beginning of a round.
-        runs: played to their end.
-        violation: the first violated invariant; empty: none.
-        path: the deviations that lead to it, each with its round.
+        rounds: number of rounds of each run.
+        max_faults: maximum number of faults in a run.
+        states: number of distinct states at the beginning of a round.
+        runs: number of complete runs.
+        violation: description of the first violated invariant; empty: none.
+        path: the faults that lead to the violation, each with its round.
     """
 
     rounds: int
-    deviations: int
+    max_faults: int
     states: int
     runs: int
     violation: str = ""
@@ -68,29 +68,29 @@
 
 
 class _RunPrefix(NamedTuple):
-    """The beginning of a run: its pickled state, and the rounds and deviations behind it."""
+    """The first rounds of a run: the pickled state after them, and the faults that have begun."""
 
-    world: bytes
+    pickled_model: bytes
     round_number: int = 0
-    deviation_count: int = 0
+    fault_count: int = 0
     path: tuple[str, ...] = ()
 
 
-class _Explorer(Generic[ChoiceT]):
-    """One exploration, depth first."""
+class _Explorer(Generic[FaultT]):
+    """One depth-first exploration."""
 
-    def __init__(self, rounds: int, deviations: int, first_deviation_rounds: Iterable[int] | None) -> None:
+    def __init__(self, rounds: int, max_faults: int, first_fault_rounds: Iterable[int] | None) -> None:
         self._rounds = rounds
-        self._deviations = deviations
-        self._first_rounds = None if first_deviation_rounds is None else set(first_deviation_rounds)
+        self._max_faults = max_faults
+        self._first_fault_rounds = None if first_fault_rounds is None else set(first_fault_rounds)
         self._seen: set[bytes] = set()
         self._runs = 0
 
-    def explore(self, world: World[ChoiceT], max_states: int) -> ExplorationResult:
-        stack = [_RunPrefix(pickle.dumps(world))]
+    def explore(self, model: Model[FaultT], max_states: int) -> ExplorationResult:
+        stack = [_RunPrefix(pickle.dumps(model))]
         while stack:
             prefix = stack.pop()
-            current: World[ChoiceT] = pickle.loads(prefix.world)
+            current: Model[FaultT] = pickle.loads(prefix.pickled_model)
             if prefix.round_number == self._rounds:
                 self._runs += 1
                 continue
@@ -98,75 +98,80 @@
                 continue
             if max_states and len(self._seen) > max_states:
                 break
-            choices = current.choices() if self._may_deviate(prefix) else ()
-            for choice in (None, *choices):
+            faults = current.available_faults() if self._may_inject_fault(prefix) else ()
+            for fault in (None, *faults):
                 path = prefix.path
-                if choice is not None:
-                    path = (*path, f"round {prefix.round_number}: {choice}")
+                if fault is not None:
+                    path = (*path, f"round {prefix.round_number}: {fault}")
                 try:
-                    stack.append(self._play_round(prefix, choice, path))
+                    stack.append(self._run_round(prefix, fault, path))
                 except InvariantViolationError as err:
                     return self._result(str(err), path)
         return self._result()
 
-    def _is_new_state(self, prefix: _RunPrefix, world: World[ChoiceT]) -> bool:
-        state = (prefix.round_number, prefix.deviation_count, world.key())
+    def _is_new_state(self, prefix: _RunPrefix, model: Model[FaultT]) -> bool:
+        state = (prefix.round_number, prefix.fault_count, model.key())
         digest = blake2b(repr(state).encode(), digest_size=12).digest()
         if digest in self._seen:
             return False
         self._seen.add(digest)
         return True
 
-    def _may_deviate(self, prefix: _RunPrefix) -> bool:
-        if prefix.deviation_count >= self._deviations:
+    def _may_inject_fault(self, prefix: _RunPrefix) -> bool:
+        if prefix.fault_count >= self._max_faults:
             return False
-        is_first = prefix.deviation_count == 0
-        return not is_first or self._first_rounds is None or prefix.round_number in self._first_rounds
-
-    def _play_round(self, prefix: _RunPrefix, choice: ChoiceT | None, path: tuple[str, ...]) -> _RunPrefix:
-        world: World[ChoiceT] = pickle.loads(prefix.world)
-        deviation_count = prefix.deviation_count
-        if choice is not None:
-            world.deviate(choice)
-            deviation_count += 1
-        world.play_round()
-        return _RunPrefix(pickle.dumps(world), prefix.round_number + 1, deviation_count, path)
+        is_first = prefix.fault_count == 0
+        return (
+            not is_first
+            or self._first_fault_rounds is None
+            or prefix.round_number in self._first_fault_rounds
+        )
+
+    def _run_round(self, prefix: _RunPrefix, fault: FaultT | None, path: tuple[str, ...]) -> _RunPrefix:
+        model: Model[FaultT] = pickle.loads(prefix.pickled_model)
+        fault_count = prefix.fault_count
+        if fault is not None:
+            model.inject_fault(fault)
+            fault_count += 1
+        model.run_round()
+        return _RunPrefix(pickle.dumps(model), prefix.round_number + 1, fault_count, path)
 
     def _result(self, violation: str = "", path: tuple[str, ...] = ()) -> ExplorationResult:
-        return ExplorationResult(self._rounds, self._deviations, len(self._seen), self._runs, violation, path)
+        return ExplorationResult(self._rounds, self._max_faults, len(self._seen), self._runs, violation, path)
 
 
 def explore(
-    world: World[ChoiceT],
+    model: Model[FaultT],
     rounds: int,
-    deviations: int,
+    max_faults: int,
     max_states: int = 0,
-    first_deviation_rounds: Iterable[int] | None = None,
+    first_fault_rounds: Iterable[int] | None = None,
 ) -> ExplorationResult:
-    """Play all runs of a world.
+    """Execute all runs of a model within bounds.
 
     Args:
-        world: at its beginning; it is left as it is.
-        rounds: of each run.
-        deviations: that a run may have at most.
-        max_states: after which the exploration stops, 0 for no bound; what it has found then is no proof.
-        first_deviation_rounds: only runs whose first deviation begins in one of these rounds.
+        model: the model in its initial state; it is not modified.
+        rounds: number of rounds of each run.
+        max_faults: maximum number of faults in a run.
+        max_states: number of states after which the exploration stops, 0 for no bound; an exploration that
+            stops early proves nothing.
+        first_fault_rounds: rounds in which the first fault of a run may begin; None: any round.
 
     Returns:
-        The extent of the exploration, and the first violation that it has found.
+        The extent of the exploration, and the first violation if there is one.
     """
-    explorer: _Explorer[ChoiceT] = _Explorer(rounds, deviations, first_deviation_rounds)
-    return explorer.explore(world, max_states)
+    explorer: _Explorer[FaultT] = _Explorer(rounds, max_faults, first_fault_rounds)
+    return explorer.explore(model, max_states)
 
 
 def canonical_state(value: object, now: float) -> Hashable:
-    """Return an object's state as values that compare; times (floats) as their distance from now.
+    """Return an object's state as a comparable value, with times (floats) relative to now.
 
-    Two states that differ only in how long ago all of it happened are one.
+    States that differ only by a common shift of all times are equal.
 
     Args:
         value: any object of a model.
-        now: the time that its times are compared with, ms.
+        now: the current time of the object's clock, ms.
     """
     match value:
         case float():
--- a/winchspan/model_checking/lease_faults.py
+++ b/winchspan/model_checking/lease_faults.py
@@ -1,4 +1,4 @@
-"""Faults that the lease model explores, and the defects that tests put into it on purpose."""
+"""Faults of the lease model that the checker explores, and defects that tests plant in the model."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from typing import Final, NamedTuple
 
 NODE_IDS: Final = ("a#1", "b#1", "c#1")
-STORE: Final = "store"  # the target of the lease holder's acts
-FAULT_ROUNDS: Final = (4, 15)  # less than an election takes, and more than a lease lasts
+STORE: Final = "store"  # name of the store to which the lease holder writes
+FAULT_ROUNDS: Final = (4, 15)  # shorter than an election, and longer than a lease
 
 
 class FaultKind(Enum):
-    """What goes wrong."""
+    """The kind of a fault; the values appear in counterexamples."""
 
     REVERSE_MESSAGES = "reverse messages in flight"
     LOSE_MESSAGES = "lose messages in flight"
@@ -26,7 +26,7 @@
 
 
 class Fault(NamedTuple):
-    """A fault with its place and its duration, as far as it has them."""
+    """A fault with its location and duration; empty fields do not apply to the kind."""
 
     kind: FaultKind
     node_id: str = ""
@@ -34,14 +34,14 @@
     rounds: int = 0
 
     def __str__(self) -> str:
-        """Describe the fault for people."""
+        """Describe the fault for counterexamples."""
         place = " to ".join(part for part in (self.node_id, self.peer) if part)
         duration = f"for {self.rounds} rounds" if self.rounds else ""
         return " ".join(part for part in (self.kind.value, place, duration) if part)
 
 
 class Defect(Enum):
-    """A safeguard that a test removes to see that the model checker notices."""
+    """A safeguard that a test removes to verify that the model checker finds the violation."""
 
     VOTE_BEFORE_PERSIST = "votes are sent before they are persisted"
     NO_LEASE_CHECK = "the lease is not checked right before the act"
@@ -49,15 +49,15 @@
 
 
 def node_faults(node_id: str) -> list[Fault]:
-    """Return the faults of a running node."""
+    """Return the faults that may affect a running node."""
     kinds = (FaultKind.FREEZE, FaultKind.CUT_OUTBOUND, FaultKind.CUT_INBOUND, FaultKind.ISOLATE)
-    found = [Fault(FaultKind.RESTART, node_id), Fault(FaultKind.LOSE_DATA_DIRECTORY, node_id)]
-    found += [Fault(kind, node_id, rounds=rounds) for kind in kinds for rounds in FAULT_ROUNDS]
-    return found
+    faults = [Fault(FaultKind.RESTART, node_id), Fault(FaultKind.LOSE_DATA_DIRECTORY, node_id)]
+    faults += [Fault(kind, node_id, rounds=rounds) for kind in kinds for rounds in FAULT_ROUNDS]
+    return faults
 
 
 def link_faults() -> list[Fault]:
-    """Return the faults of single links."""
+    """Return the faults that affect a single link."""
     longest = FAULT_ROUNDS[-1]
     delays = [
         Fault(FaultKind.DELAY_LINK, source, target, longest)
--- a/winchspan/model_checking/lease_network.py
+++ b/winchspan/model_checking/lease_network.py
@@ -1,4 +1,4 @@
-"""The network of the lease model: it also delays messages and reverses their order."""
+"""The network of the lease model, which can also delay messages and reverse their order."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from winchspan.leases.messages import LeaseReleased, LeasesRenewed, ReleaseLease, RenewLeases
 from winchspan.model_checking.network import Envelope, ModelNetwork, rounds_after_one
 
-MAX_MESSAGES_PER_ROUND: Final = 400  # more would be an endless exchange
+MAX_MESSAGES_PER_ROUND: Final = 400  # more count as an endless exchange
 
 
 @dataclass(frozen=True, slots=True)
 class Act:
-    """A lease holder's act, on its way to the store."""
+    """A lease holder's write to the store."""
 
     epoch: int
 
@@ -31,11 +31,12 @@
 
 
 class LeaseNetwork(ModelNetwork[LeaseMessage]):
-    """Delivers messages in order, as far as faults let them pass.
+    """Delivers messages in order unless faults drop, delay or reorder them.
 
     Attributes:
-        delayed_links: by source and target, for how many rounds, and by how many, messages are delayed.
-        is_next_round_reversed: whether the next round delivers what is in flight in reverse order.
+        delayed_links: by source and target, the remaining rounds of the delay; a message is delayed by
+            the number of rounds that remain when it would be delivered.
+        is_next_round_reversed: whether the next round delivers the messages in flight in reverse order.
     """
 
     def __init__(self) -> None:
@@ -45,15 +46,15 @@
         self.is_next_round_reversed = False
 
     def delay(self, source: str, target: str, rounds: int) -> None:
-        """Delay the messages of one direction of a link for some rounds."""
+        """Delay the messages of one direction of a link for a number of rounds."""
         self.delayed_links[source, target] = rounds
 
     def is_isolated(self, node_id: str, others: list[str]) -> bool:
-        """Whether a node is cut off from all others, both ways."""
+        """Whether the links from a node to all others are cut in both directions."""
         return all(self.is_cut(node_id, other) and self.is_cut(other, node_id) for other in others)
 
     def deliver_all(self, deliver: Callable[[LeaseEnvelope], None]) -> None:
-        """Deliver messages like `ModelNetwork`, but for those that faults delay."""
+        """Deliver messages like `ModelNetwork`, except those that a fault delays."""
         self._release_delayed()
         if self.is_next_round_reversed:
             self.in_flight.reverse()
@@ -61,12 +62,12 @@
         super().deliver_all(partial(self._deliver_or_delay, deliver))
 
     def advance_round(self) -> None:
-        """Let a round pass, and end the faults whose time is over."""
+        """Advance by one round, and end the faults whose duration has passed."""
         super().advance_round()
         self.delayed_links = rounds_after_one(self.delayed_links)
 
     def key(self) -> Hashable:
-        """Return the state as a value that compares."""
+        """Return the state as a comparable value."""
         return (
             repr(self.in_flight),
             repr(self._delayed),
--- a/winchspan/model_checking/lease_node.py
+++ b/winchspan/model_checking/lease_node.py
@@ -1,4 +1,4 @@
-"""A node of the lease model: its disk, its clock, and its process if one runs."""
+"""A node of the lease model: its disk, its clock, and its process while it runs."""
 
 from __future__ import annotations
 
@@ -17,48 +17,48 @@
 from winchspan.model_checking.lease_network import LeaseMessage
 from winchspan.model_checking.network import ReceivedMessage
 
-ROLE: Final = "d"  # the one leased role
+ROLE: Final = "d"  # the only leased role
 RAFT_TIMING: Final = RaftTiming()
 
 
 class FixedTimeout:
-    """Replaces a node's random source: each node draws the same point of every interval."""
+    """Replaces a node's random number generator by a fixed position in every interval."""
 
     def __init__(self, share: float) -> None:
         self._share = share
 
     def uniform(self, low: float, high: float) -> float:
-        """Return the node's own point between two."""
+        """Return the node's fixed position between two bounds."""
         return low + (high - low) * self._share
 
 
 @dataclass(slots=True)
 class ModelClock:
-    """The true time; the nodes' clocks drift from it."""
+    """The true time, from which the nodes' clocks drift."""
 
     now: float = 0.0  # ms
 
 
 @dataclass(slots=True)
 class ModelNode:
-    """A node's disk, and its process if one runs; times in ms of its own clock.
+    """A node's disk, and its process while it runs; times in ms of the node's clock.
 
     Attributes:
-        node_id: its name in the cluster.
+        node_id: name of the node in the cluster.
         clock: the true time.
-        clock_rate: seconds of its clock in a true second.
-        timeout_share: its point between the least and the greatest election timeout.
-        persistent_state: of the consensus, on disk.
-        raft: None: no process runs.
-        table: the lease table as far as it has applied the log.
-        holder: of its leases; None: no process runs.
-        manager: of all leases; None: it is not the leader.
-        latest_expiry_at: when the last lease that it has renewed as the leader expires.
-        process_nonce: the number of its process.
-        next_renewal_at: when it renews its leases and, as the leader, plans assignments.
-        frozen_rounds: for how many rounds it stays frozen.
-        unread: what it received while it was frozen.
-        decided_epoch: the epoch under which it has decided to act; 0: it has not.
+        clock_rate: seconds of the node's clock per true second.
+        timeout_share: position of the node's election timeout between the minimum (0) and the maximum (1).
+        persistent_state: persistent consensus state on disk.
+        raft: consensus state machine; None: no process runs.
+        table: lease table after the log entries that the node has applied.
+        holder: manages the leases that the node holds; None: no process runs.
+        manager: manages the leases of all nodes; None: the node is not the leader.
+        latest_expiry_at: latest expiry of the leases that the node has renewed as the leader.
+        process_nonce: number of the current process.
+        next_renewal_at: time at which the node renews its leases and, as the leader, plans assignments.
+        frozen_rounds: number of rounds for which the node stays frozen.
+        unread: messages received while the node is frozen.
+        decided_epoch: epoch under which the node acts in the next round; 0: it does not act.
     """
 
     node_id: str
@@ -79,21 +79,21 @@
 
     @property
     def now(self) -> float:
-        """What its clock reads, ms."""
+        """Time of the node's clock, ms."""
         return self.clock.now * self.clock_rate
 
     def start(self, timing: LeaseTiming) -> None:
-        """Start a process with what the disk holds.
+        """Start a process from the state on disk.
 
         Args:
-            timing: of the leases.
+            timing: lease durations and clock drift.
         """
         self.process_nonce += 1
         now = self.now
         self.raft = Raft(self.node_id, self.persistent_state, 0, now, RAFT_TIMING)
         election = self.raft.election
-        election._rng = FixedTimeout(self.timeout_share)  # type: ignore[assignment]  # no chance here
-        election.deadline_ms = election.draw_deadline(now)
+        election._rng = FixedTimeout(self.timeout_share)  # type: ignore[assignment]  # deterministic
+        election.deadline_ms = election.draw_deadline_ms(now)
         self.table = LeaseTable()
         self.table.restore(self.persistent_state.snapshot.data)
         self.holder = LeaseHolder(self.node_id, self.process_nonce, timing)
@@ -105,18 +105,18 @@
         self.unread = []
 
     def stop(self) -> None:
-        """End the process for good."""
+        """Stop the process permanently."""
         self.raft = None
         self.holder = None
         self.manager = None
         self.decided_epoch = 0
 
     def valid_epoch(self) -> int:
-        """Return the epoch under which it may act now, as it believes; 0: it may not."""
+        """Return the epoch of the lease that is valid by the node's clock; 0: none."""
         return self.holder.valid_epoch(ROLE, self.now) if self.holder is not None else 0
 
     def key(self) -> Hashable:
-        """Return the state as a value that compares, times as distances from now."""
+        """Return the state as a comparable value, with times relative to now."""
         now = self.now
         return (
             canonical_state(self.raft, now),
--- a/winchspan/model_checking/lease_service.py
+++ b/winchspan/model_checking/lease_service.py
@@ -1,4 +1,7 @@
-"""What `winchspan.cluster.consensus_service` does at each node, without sockets, for the lease model."""
+"""Drives consensus and leases at each node of the lease model.
+
+Follows `winchspan.cluster.consensus_service`, without sockets.
+"""
 
 from __future__ import annotations
 
@@ -27,15 +30,15 @@
 from winchspan.model_checking.lease_node import ROLE, ModelNode
 from winchspan.model_checking.network import ReceivedMessage
 
-RENEWAL_INTERVAL_MS: Final = 225.0  # of the node's clock, as in `winchspan.cluster.consensus_service`
+RENEWAL_INTERVAL_MS: Final = 225.0  # by the node's clock, as in `winchspan.cluster.consensus_service`
 TIMER_TOLERANCE_MS: Final = 1e-6
 
 
 class ModelConsensusService:
-    """Drives the state machines of all nodes, and checks what they agree on.
+    """Drives the state machines of all nodes, and checks leaders and committed entries for consistency.
 
     Attributes:
-        timing: of the leases.
+        timing: lease durations and clock drift.
     """
 
     def __init__(
@@ -54,7 +57,7 @@
 
     # ---- timers ------------------------------------------------------------------------------------------
     def advance_frozen(self, node: ModelNode) -> None:
-        """Let a round of a frozen node pass; at the end of the last it handles what it has received."""
+        """Advance a frozen node by one round; after the last, handle its unread messages and timers."""
         node.frozen_rounds -= 1
         if node.frozen_rounds:
             return
@@ -69,8 +72,8 @@
         if node.raft is None or node.holder is None:
             return
         now = node.now
-        if node.raft.next_tick_at <= now + TIMER_TOLERANCE_MS:
-            self.execute(node, node.raft.tick(max(now, node.raft.next_tick_at)))
+        if node.raft.tick_due_ms <= now + TIMER_TOLERANCE_MS:
+            self.execute(node, node.raft.tick(max(now, node.raft.tick_due_ms)))
         if node.next_renewal_at <= now + TIMER_TOLERANCE_MS:
             node.next_renewal_at = now + RENEWAL_INTERVAL_MS
             self._renew_leases(node, node.raft, node.holder)
@@ -97,7 +100,7 @@
 
     # ---- messages ----------------------------------------------------------------------------------------
     def receive(self, envelope: LeaseEnvelope) -> None:
-        """Handle a message that the network delivers to a node."""
+        """Receive a message that the network delivers to a node."""
         node = self._nodes.get(envelope.target)
         if node is None or node.raft is None:
             return
@@ -121,7 +124,7 @@
                 if node.manager is not None:
                     node.manager.handle_released(node.now, message)
             case Act():
-                raise AssertionError("acts go to the store")
+                raise AssertionError("an act is addressed to a node, not to the store")
             case _:
                 self.execute(node, node.raft.handle_message(node.now, source, message))
 
@@ -131,7 +134,7 @@
         now = node.now
         is_confirmed_leader = node.raft.has_confirmed_leadership(now)
         reply = node.manager.renew(now, request, node.table, is_confirmed_leader)
-        node.latest_expiry_at = max(node.latest_expiry_at, node.manager.latest_expiry_at)
+        node.latest_expiry_at = max(node.latest_expiry_at, node.manager.latest_expiry_ms)
         if reply is not None:
             self._send(node, source, reply)
 
@@ -163,16 +166,16 @@
             node.persistent_state = apply_persist_state(node.persistent_state, command)
 
     def _apply(self, node: ModelNode, entry: LogEntry) -> None:
-        """Apply a committed entry: the same at all nodes for an index (state machine safety, 3.6.3)."""
-        known = self._committed.setdefault(entry.index, entry)
-        if known != entry:
-            raise InvariantViolationError(f"{node.node_id} commits {entry}, but {known} was committed")
+        """Apply a committed entry, which is the same at all nodes (state machine safety, 3.6.3)."""
+        committed = self._committed.setdefault(entry.index, entry)
+        if committed != entry:
+            raise InvariantViolationError(f"{node.node_id} commits {entry}, but {committed} was committed")
         role = node.table.apply(entry.index, entry.data)
         if role and node.holder is not None:
             node.holder.handle_reassigned(role, node.table.leases[role])
 
     def _change_leader(self, node: ModelNode, command: LeaderChanged) -> None:
-        """Manage leases from now on if the node leads; each term has one leader (election safety, 3.4)."""
+        """Manage leases if the node is the leader; a term has one leader (election safety, 3.4)."""
         node.manager = None
         if command.leader != node.node_id:
             return
--- a/winchspan/model_checking/leases.py
+++ b/winchspan/model_checking/leases.py
@@ -1,10 +1,10 @@
 """Model of consensus and leases: three nodes, their disks, a network, drifting clocks, and one leased role.
 
-The state machines are those of the program (`Raft`, `LeaseManager`, `LeaseHolder`, `LeaseTable`,
-`EpochFence`); `lease_service` does with them what `winchspan.cluster.consensus_service` does, without
-sockets. Clocks drift by 5%. A holder decides to act at the end of a round and acts in the next: the lease
-check right before the act covers what happens in between (a freeze). The act reaches a store, which compares
-epochs, whenever the network delivers it. `lease_initial_states` has the states to explore from.
+The model uses the couriers' own state machines (`Raft`, `LeaseManager`, `LeaseHolder`, `LeaseTable`,
+`EpochFence`). `lease_service` drives them like `winchspan.cluster.consensus_service`, without sockets. Clocks
+drift by 5%. A holder decides to act at the end of a round and acts in the next round. The lease check right
+before the act covers a freeze in between. The act reaches a store when the network delivers it, and the store
+compares epochs. `lease_initial_states` defines the initial states.
 """
 
 from __future__ import annotations
@@ -29,28 +29,28 @@
 from winchspan.model_checking.lease_service import ModelConsensusService
 
 MAX_CLOCK_DRIFT: Final = 0.05
-CLOCK_RATES: Final = (1.0 + MAX_CLOCK_DRIFT, 1.0 - MAX_CLOCK_DRIFT, 1.0)  # of the three nodes
-TIMEOUT_SHARES: Final = (0.0, 0.5, 1.0)  # of the three nodes
+CLOCK_RATES: Final = (1.0 + MAX_CLOCK_DRIFT, 1.0 - MAX_CLOCK_DRIFT, 1.0)  # one for each node
+TIMEOUT_SHARES: Final = (0.0, 0.5, 1.0)  # one for each node, see `ModelNode.timeout_share`
 LEASE_TIMING: Final = LeaseTiming(max_clock_drift=MAX_CLOCK_DRIFT)
 ROUND_MS: Final = 75.0  # true time: half a heartbeat, so that no timer counts as stalled
 
 
 class LeaseModel:
-    """The nodes and their environment, advanced round by round for the checker.
+    """The nodes and their environment, which the checker advances in rounds.
 
     Attributes:
-        nodes: by id; those that have lost their data directories included.
+        nodes: nodes by id, including stopped nodes whose data directories are lost.
         clock: the true time.
         network: messages in flight, and faults of links.
         service: drives the nodes' state machines.
     """
 
     def __init__(self, defects: frozenset[Defect] = frozenset(), timing: LeaseTiming = LEASE_TIMING) -> None:
-        """Make the nodes; none is started yet.
+        """Create the nodes without starting them.
 
         Args:
-            defects: safeguards that are removed.
-            timing: of the leases.
+            defects: safeguards to remove.
+            timing: lease durations and clock drift.
         """
         self._defects = defects
         self.clock = ModelClock()
@@ -61,16 +61,16 @@
         self.network = LeaseNetwork()
         self.service = ModelConsensusService(self.nodes, self.network, timing, defects)
         self._store = EpochFence()
-        self._last_act_epoch = 0  # under which the store has accepted an act
+        self._last_act_epoch = 0  # epoch of the last act that the store has accepted
         self._lost_directory_count = 0
-        self._isolated_terms: dict[str, int] = {}  # of isolated nodes, their terms when that began
+        self._isolated_terms: dict[str, int] = {}  # by isolated node, its term when the isolation began
 
     def start(self, node: ModelNode) -> None:
-        """Start a process of a node."""
+        """Start the process of a node."""
         node.start(self.service.timing)
 
     # ---- faults ------------------------------------------------------------------------------------------
-    def choices(self) -> list[Fault]:
+    def available_faults(self) -> list[Fault]:
         """Return the faults that may begin now."""
         faults = [Fault(FaultKind.REVERSE_MESSAGES), Fault(FaultKind.LOSE_MESSAGES)]
         for node in self.nodes.values():
@@ -78,25 +78,25 @@
                 faults += node_faults(node.node_id)
         return faults + link_faults()
 
-    def deviate(self, choice: Fault) -> None:
+    def inject_fault(self, fault: Fault) -> None:
         """Begin a fault."""
-        match choice.kind:
+        match fault.kind:
             case FaultKind.REVERSE_MESSAGES:
                 self.network.is_next_round_reversed = True
             case FaultKind.LOSE_MESSAGES:
                 self.network.in_flight.clear()
             case FaultKind.RESTART:
-                self.start(self.nodes[choice.node_id])
+                self.start(self.nodes[fault.node_id])
             case FaultKind.LOSE_DATA_DIRECTORY:
-                self._lose_data_directory(self.nodes[choice.node_id])
+                self._lose_data_directory(self.nodes[fault.node_id])
             case FaultKind.FREEZE:
-                self.nodes[choice.node_id].frozen_rounds = choice.rounds
+                self.nodes[fault.node_id].frozen_rounds = fault.rounds
             case FaultKind.DELAY_LINK:
-                self.network.delay(choice.node_id, choice.peer, choice.rounds)
+                self.network.delay(fault.node_id, fault.peer, fault.rounds)
             case FaultKind.PARTITION_LINK:
-                self.network.cut_both_ways(choice.node_id, choice.peer, choice.rounds)
+                self.network.cut_both_ways(fault.node_id, fault.peer, fault.rounds)
             case FaultKind.CUT_OUTBOUND | FaultKind.CUT_INBOUND | FaultKind.ISOLATE:
-                self._cut_off(choice)
+                self._cut_off(fault)
 
     def _cut_off(self, fault: Fault) -> None:
         for other in NODE_IDS:
@@ -108,9 +108,9 @@
                 self.network.cut(other, fault.node_id, fault.rounds)
 
     def _lose_data_directory(self, node: ModelNode) -> None:
-        """Replace a node by one with an empty directory, which nobody asks for a vote."""
+        """Replace a node by one with an empty data directory, which is not a voter."""
         self._lost_directory_count += 1
-        if len(self.nodes) > len(NODE_IDS):  # one at a time is enough for three nodes
+        if len(self.nodes) > len(NODE_IDS):  # at most one node is replaced: three nodes tolerate one failure
             return
         node_id = f"{node.node_id[0]}#{self._lost_directory_count + 1}"
         replacement = ModelNode(node_id, self.clock, node.clock_rate, node.timeout_share)
@@ -119,8 +119,8 @@
         self.start(replacement)
 
     # ---- a round -----------------------------------------------------------------------------------------
-    def play_round(self) -> None:
-        """Carry out decided acts, deliver all messages, advance the time, and run due timers.
+    def run_round(self) -> None:
+        """Execute decided acts, deliver all messages, advance the time, and run due timers.
 
         Raises:
             InvariantViolationError: if an invariant does not hold.
@@ -139,7 +139,7 @@
         self._check_isolated_terms()
 
     def key(self) -> Hashable:
-        """Return the state, times as distances from now, without counters that nothing depends on."""
+        """Return the state with times relative to now, without counters that do not affect behaviour."""
         return (
             tuple(node.key() for node in self.nodes.values()),
             self.network.key(),
@@ -149,7 +149,7 @@
         )
 
     def _act(self, node: ModelNode) -> None:
-        """Carry out a decided act, after another check of the lease."""
+        """Execute a decided act after checking the lease again."""
         if node.frozen_rounds or not node.decided_epoch or node.holder is None:
             return
         epoch = node.decided_epoch
@@ -158,7 +158,9 @@
             return
         others = [other.node_id for other in self.nodes.values() if other is not node and other.valid_epoch()]
         if others:
-            raise InvariantViolationError(f"{node.node_id} acts under {epoch} while {others} may")
+            raise InvariantViolationError(
+                f"{node.node_id} acts under {epoch} while {others} hold a valid lease"
+            )
         self.network.send(node.node_id, STORE, Act(epoch))
 
     def _receive(self, envelope: LeaseEnvelope) -> None:
@@ -168,17 +170,17 @@
             self.service.receive(envelope)
 
     def _store_act(self, source: str, act: Act) -> None:
-        """Accept an act at the store; those that it accepts are in the order of their epochs."""
+        """Handle an act at the store; accepted acts must be in the order of their epochs."""
         if not self._store.admit(ROLE, act.epoch) and Defect.NO_EPOCH_CHECK not in self._defects:
             return
         if act.epoch < self._last_act_epoch:
             raise InvariantViolationError(
-                f"an act of {source} under {act.epoch} is stored after one under {self._last_act_epoch}"
+                f"an act of {source} under {act.epoch} is stored after an act under {self._last_act_epoch}"
             )
         self._last_act_epoch = act.epoch
 
     def _check_holders(self) -> None:
-        """At most one node may act; it decides to."""
+        """Check that at most one node holds a valid lease, and make that node decide to act."""
         epochs = {node.node_id: node.valid_epoch() for node in self.nodes.values()}
         holders = [(node_id, epoch) for node_id, epoch in epochs.items() if epoch]
         if len(holders) > 1:
@@ -188,7 +190,7 @@
                 self.nodes[node_id].decided_epoch = epoch
 
     def _check_isolated_terms(self) -> None:
-        """An isolated node raises no term, thanks to pre-votes (9.6)."""
+        """Check that pre-votes prevent an isolated node from raising its term (9.6)."""
         for node_id in NODE_IDS:
             raft = self.nodes[node_id].raft
             others = [other for other in NODE_IDS if other != node_id]
--- a/winchspan/model_checking/network.py
+++ b/winchspan/model_checking/network.py
@@ -1,4 +1,4 @@
-"""The network of a model: messages in flight, and links that lose them."""
+"""The network of a model: messages in flight, and links that drop them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Envelope(NamedTuple, Generic[MessageT]):
-    """A message with its source and target."""
+    """A message in flight, with its source and target."""
 
     source: str
     target: str
@@ -19,7 +19,7 @@
 
 
 class ReceivedMessage(NamedTuple, Generic[MessageT]):
-    """A message that waits in the socket of a frozen process."""
+    """A message in the receive buffer of a frozen process."""
 
     source: str
     message: MessageT
@@ -29,42 +29,42 @@
     """Delivers messages in the order in which they were sent.
 
     Attributes:
-        in_flight: the messages that were sent and not delivered yet.
-        cut_links: by source and target, for how many rounds the link goes on losing its messages.
+        in_flight: messages that were sent and are not delivered yet.
+        cut_links: by source and target, the number of rounds for which the link still drops messages.
     """
 
     def __init__(self, max_messages_per_round: int) -> None:
-        """Start without any message.
+        """Create a network without messages.
 
         Args:
-            max_messages_per_round: more of them are an endless exchange.
+            max_messages_per_round: upper bound; a larger number counts as an endless exchange.
         """
         self._max_messages_per_round = max_messages_per_round
         self.in_flight: list[Envelope[MessageT]] = []
         self.cut_links: dict[tuple[str, str], int] = {}
 
     def send(self, source: str, target: str, message: MessageT) -> None:
-        """Put a message in flight."""
+        """Send a message from a source to a target."""
         self.in_flight.append(Envelope(source, target, message))
 
     def cut(self, source: str, target: str, rounds: int) -> None:
-        """Lose the messages of one direction of a link for some rounds."""
+        """Drop the messages of one direction of a link for a number of rounds."""
         self.cut_links[source, target] = rounds
 
     def cut_both_ways(self, one: str, other: str, rounds: int) -> None:
-        """Lose the messages of both directions of a link for some rounds."""
+        """Drop the messages of both directions of a link for a number of rounds."""
         self.cut(one, other, rounds)
         self.cut(other, one, rounds)
 
     def is_cut(self, source: str, target: str) -> bool:
-        """Whether messages of this direction are lost."""
+        """Whether messages from the source to the target are dropped."""
         return (source, target) in self.cut_links
 
     def deliver_all(self, deliver: Callable[[Envelope[MessageT]], None]) -> None:
-        """Deliver messages, those sent meanwhile included, until none is in flight.
+        """Deliver messages until none is in flight, including those sent during delivery.
 
         Args:
-            deliver: called with each message whose link is not cut.
+            deliver: called with each message that is not dropped.
 
         Raises:
             InvariantViolationError: if the exchange does not end.
@@ -78,10 +78,10 @@
         raise InvariantViolationError("endless exchange of messages")
 
     def advance_round(self) -> None:
-        """Let a round pass, and restore the links whose time is over."""
+        """Advance by one round, and restore the links whose cut has ended."""
         self.cut_links = rounds_after_one(self.cut_links)
 
 
 def rounds_after_one(rounds_left: dict[tuple[str, str], int]) -> dict[tuple[str, str], int]:
-    """Return the rounds that faults of links have left after another one; faults that end are left out."""
+    """Return the remaining rounds of link faults after one more round, without the faults that end."""
     return {link: rounds - 1 for link, rounds in rounds_left.items() if rounds > 1}
--- a/winchspan/model_checking/replication.py
+++ b/winchspan/model_checking/replication.py
@@ -1,13 +1,13 @@
 """Model of journal replication and takeover: three couriers, one destination, two messages of one key.
 
-The state machines are the courier's own: `ReplicationStream`, `ReplicaSet`, `TakeoverPlanner`, `LeaseTable`.
-What `winchspan.cluster.replication_service` does with them is modelled here, without sockets. Consensus is
-assumed to work (`winchspan.model_checking.leases` explores it): what is agreed is known at once to all that
-its leader reaches both ways, and to the rest once they are reachable again. Leases follow the clock; an owner
-with a slow clock believes for too long that its lease is valid.
-
-The client of the first courier submits two messages of one key. The destination works on a call for
-`SERVICE_ROUNDS` and checks what is executed, and when.
+The model uses the couriers' own state machines (`ReplicationStream`, `ReplicaSet`, `TakeoverPlanner`,
+`LeaseTable`) and drives them like `winchspan.cluster.replication_service`, without sockets. Consensus is
+assumed to work (`winchspan.model_checking.leases` explores it): all couriers that the leader reaches in both
+directions receive a committed entry at once, and the others when they are reachable again. Leases expire by
+the clock. An owner with a slow clock treats its lease as valid for too long.
+
+The client of the first courier submits two messages of one key. The destination processes a call for
+`SERVICE_ROUNDS` and checks the order and the number of executions.
 """
 
 from __future__ import annotations
@@ -42,31 +42,31 @@
 from winchspan.model_checking.replication_service import ModelReplicationService
 
 DESTINATION: Final = "destination"
-HEALTHY_ROUNDS: Final = 45  # without a fault, in which every message completes: 25 of them are grace
-SETTLING_ROUNDS: Final = 8  # until the owner's replicas are complete
-MAX_MESSAGES_PER_ROUND: Final = 200  # more would be an endless exchange
+HEALTHY_ROUNDS: Final = 45  # without a fault, after which every message is complete; 25 are a grace period
+SETTLING_ROUNDS: Final = 8  # after the start, until the owner's replicas are complete
+MAX_MESSAGES_PER_ROUND: Final = 200  # more count as an endless exchange
 
 
 class ReplicationModel:
-    """The couriers and their environment, advanced round by round for the checker.
+    """The couriers and their environment, which the checker advances in rounds.
 
     Attributes:
-        couriers: by name.
-        clock: the time.
+        couriers: couriers by name.
+        clock: the clock of all couriers.
         network: messages in flight and cut links.
         destination: calls and completions of the messages.
-        consensus: what is agreed.
+        consensus: the replicated lease table.
     """
 
     def __init__(
         self, replica_count: int = 1, at_most_once: bool = True, defects: frozenset[Defect] = frozenset()
     ) -> None:
-        """Start with a cluster in which the owner holds its lease, and its replicas are complete.
+        """Create a cluster in which the owner holds its lease and its replicas are complete.
 
         Args:
-            replica_count: beside the owner's own journal.
-            at_most_once: whether the messages may be executed once only; else they are idempotent.
-            defects: what a test has broken.
+            replica_count: number of replicas in addition to the owner's journal.
+            at_most_once: whether a message may be executed at most once; otherwise it is idempotent.
+            defects: safeguards to remove.
         """
         self.couriers = {name: ModelCourier(name) for name in COURIERS}
         self.clock = ModelClock()
@@ -75,23 +75,23 @@
         self.consensus = ModelConsensus(self.couriers, self.network, self.clock, defects)
         environment = Environment(self.clock, self.network, self.destination, defects)
         self._service = ModelReplicationService(self.couriers, self.consensus, environment)
-        self._healthy_rounds = 0  # since the last fault, HEALTHY_ROUNDS at most
-        self._restart_rounds: dict[str, int] = {}  # by crashed courier, until it restarts
-        self.consensus.agree(AssignRole(ROLE, OWNER, 1, 0).encode())
+        self._healthy_rounds = 0  # rounds since the last fault, at most HEALTHY_ROUNDS
+        self._restart_rounds: dict[str, int] = {}  # by crashed courier, rounds until it restarts
+        self.consensus.commit(AssignRole(ROLE, OWNER, 1, 0).encode())
         replicas = COURIERS[1 : 1 + replica_count]
-        self.consensus.agree(SetReplicaPlacement(OWNER, replicas, (), 0).encode())
+        self.consensus.commit(SetReplicaPlacement(OWNER, replicas, (), 0).encode())
         for _ in range(SETTLING_ROUNDS):
-            self.play_round()
+            self.run_round()
         assert self.couriers[OWNER].stream is not None
         for message_id in MESSAGE_IDS:
             self.submit(message_id)
 
     def submit(self, message_id: str) -> bool:
-        """Submit a message to the owner as its client; return whether the owner accepts it."""
+        """Submit a message to the owner as a client; return whether the owner accepts it."""
         return self._service.accept(self.couriers[OWNER], message_id)
 
     # ---- faults ------------------------------------------------------------------------------------------
-    def choices(self) -> list[Fault]:
+    def available_faults(self) -> list[Fault]:
         """Return the faults that may begin now."""
         faults: list[Fault] = []
         process_faults = (
@@ -110,26 +110,26 @@
         first, second, third = COURIERS
         for one, other in ((first, second), (first, third), (second, third)):
             faults.append(Fault(FaultKind.PARTITION, one, LONG_ROUNDS, other))
-        faults += [Fault(FaultKind.MUTE, OWNER, LONG_ROUNDS, peer) for peer in COURIERS[1:]]
+        faults += [Fault(FaultKind.ONE_WAY_PARTITION, OWNER, LONG_ROUNDS, peer) for peer in COURIERS[1:]]
         return [*faults, Fault(FaultKind.SLOW_CLOCK, OWNER, LONG_ROUNDS)]
 
-    def deviate(self, choice: Fault) -> None:
+    def inject_fault(self, fault: Fault) -> None:
         """Begin a fault."""
-        match choice.kind:
+        match fault.kind:
             case FaultKind.KILL | FaultKind.LOSE_DATA_DIRECTORY:
-                self._crash(choice)
+                self._crash(fault)
             case FaultKind.FREEZE:
-                self.couriers[choice.courier].frozen_rounds = choice.rounds
+                self.couriers[fault.courier].frozen_rounds = fault.rounds
             case FaultKind.SLOW_CLOCK:
-                self.clock.slow_rounds = choice.rounds
+                self.clock.slow_rounds = fault.rounds
             case FaultKind.ISOLATE:
                 for other in COURIERS:
-                    if other != choice.courier:
-                        self.network.cut_both_ways(choice.courier, other, choice.rounds)
-            case FaultKind.MUTE:
-                self.network.cut(choice.courier, choice.peer, choice.rounds)
+                    if other != fault.courier:
+                        self.network.cut_both_ways(fault.courier, other, fault.rounds)
+            case FaultKind.ONE_WAY_PARTITION:
+                self.network.cut(fault.courier, fault.peer, fault.rounds)
             case FaultKind.PARTITION:
-                self.network.cut_both_ways(choice.courier, choice.peer, choice.rounds)
+                self.network.cut_both_ways(fault.courier, fault.peer, fault.rounds)
 
     def _crash(self, fault: Fault) -> None:
         courier = self.couriers[fault.courier]
@@ -140,8 +140,8 @@
         self._restart_rounds[courier.name] = fault.rounds
 
     # ---- a round -----------------------------------------------------------------------------------------
-    def play_round(self) -> None:
-        """Deliver what is in flight, let time pass, and do what is due.
+    def run_round(self) -> None:
+        """Deliver the messages in flight, advance the time, and run the actions that are due.
 
         Raises:
             InvariantViolationError: if an invariant does not hold.
@@ -194,7 +194,7 @@
                 self.couriers[name].restart()
 
     def _check_completions(self) -> None:
-        """A message that was answered +OK is complete after long enough without a fault."""
+        """Check that acknowledged messages are complete after `HEALTHY_ROUNDS` without a fault."""
         has_fault = (
             self.network.cut_links
             or self._restart_rounds
@@ -208,7 +208,7 @@
 
     # ---- the checker -------------------------------------------------------------------------------------
     def key(self) -> Hashable:
-        """Return what distinguishes this state from others, with times relative to now."""
+        """Return the state as a comparable value, with times relative to now."""
         return (
             self._healthy_rounds,
             tuple(canonical_state(courier, self.clock.now) for courier in self.couriers.values()),
