--- a/winchspan/model_checking/replication_consensus.py
+++ b/winchspan/model_checking/replication_consensus.py
@@ -1,4 +1,7 @@
-"""Consensus in the replication model, assumed to work: what is agreed, and the leader's decisions."""
+"""Consensus in the replication model: the committed lease table, and the leader's decisions.
+
+The consensus protocol itself is assumed to work.
+"""
 
 from __future__ import annotations
 
@@ -14,11 +17,11 @@
 from winchspan.replication.replica_set import ReplicaProgress, ReplicaState
 
 ROLE: Final = journal_role(OWNER)
-LEASE_MS: Final = 800.0  # `LeaseTiming.lease_ms` in whole rounds, without the drift
+LEASE_MS: Final = 800.0  # `LeaseTiming.lease_ms` rounded to whole rounds, without clock drift
 
 
 class ModelConsensus:
-    """The agreed lease table, known at once to all couriers that the leader reaches both ways."""
+    """The committed lease table, sent at once to all couriers that the leader reaches in both directions."""
 
     def __init__(
         self,
@@ -33,16 +36,16 @@
         self._defects = defects
         self._planner = TakeoverPlanner()
         self._log_index = 10
-        self._lease_expires_at_ms = 0.0  # when the last lease on the journal has expired for certain
+        self._lease_expires_at_ms = 0.0  # latest expiry of any lease on the journal
         self.lease_table = LeaseTable()
 
-    def agree(self, data: bytes) -> None:
-        """Append an entry to the agreed log."""
+    def commit(self, data: bytes) -> None:
+        """Append an entry to the committed log and apply it."""
         self._log_index += 1
         self.lease_table.apply(self._log_index, data)
 
     def majority(self) -> set[str]:
-        """Return the leader of the consensus group and all that it reaches both ways; empty: no majority."""
+        """Return the leader and the couriers that it reaches in both directions; empty: no majority."""
         active = [courier.name for courier in self._couriers.values() if courier.is_active]
         for leader in reversed(active):
             group = {
@@ -55,7 +58,7 @@
         return set()
 
     def run_round(self) -> None:
-        """Renew the lease, move the journal, change its replicas, and publish what is agreed."""
+        """Renew the lease, assign the journal, change its replicas, and publish the lease table."""
         group = self.majority()
         if not group:
             return
@@ -71,7 +74,7 @@
             self._couriers[name].lease_table = lease_table
 
     def key(self) -> Hashable:
-        """Return what distinguishes this state from others, with times relative to now."""
+        """Return the state as a comparable value, with times relative to now."""
         now = self._clock.now
         return canonical_state(self._planner, now), canonical_state(self._lease_expires_at_ms, now)
 
@@ -79,7 +82,7 @@
         holder = self._couriers[lease.holder]
         if lease.holder in group and holder.incarnation == lease.process_nonce:
             self._lease_expires_at_ms = self._clock.now + LEASE_MS
-            holder.lease_until_ms = self._lease_expires_at_ms
+            holder.lease_expires_at_ms = self._lease_expires_at_ms
 
     def _record_progress(self, group: set[str], placement: ReplicaPlacement | None) -> None:
         for name in placement.replicas if placement is not None else ():
@@ -99,7 +102,7 @@
         if not chosen or self._clock.now < self._lease_expires_at_ms:
             return
         if (chosen, self._couriers[chosen].incarnation) != (lease.holder, lease.process_nonce):
-            self.agree(AssignRole(ROLE, chosen, alive[chosen], lease.epoch).encode())
+            self.commit(AssignRole(ROLE, chosen, alive[chosen], lease.epoch).encode())
 
     def _plan_replicas(self, group: set[str], placement: ReplicaPlacement | None) -> None:
         stream = self._couriers[OWNER].stream
@@ -107,16 +110,16 @@
             return
         if stream is None:
             return
-        lost = [name for name in placement.replicas if name not in group]
+        unreachable = [name for name in placement.replicas if name not in group]
         candidates = [name for name in sorted(group) if name not in (*placement.replicas, OWNER)]
-        if lost and candidates and not placement.joining:
-            joining = tuple(name for name in (*placement.replicas, *candidates) if name not in lost)
+        if unreachable and candidates and not placement.joining:
+            joining = tuple(name for name in (*placement.replicas, *candidates) if name not in unreachable)
             change = SetReplicaPlacement(OWNER, placement.replicas, joining, placement.version)
-            self.agree(change.encode())
+            self.commit(change.encode())
         elif (
             placement.joining
             and set(placement.joining) <= group
             and all(stream.is_in_sync(name) for name in placement.joining)
         ):
             change = SetReplicaPlacement(OWNER, placement.joining, (), placement.version)
-            self.agree(change.encode())
+            self.commit(change.encode())
--- a/winchspan/model_checking/replication_courier.py
+++ b/winchspan/model_checking/replication_courier.py
@@ -1,4 +1,4 @@
-"""A courier of the replication model: its state in memory and on disk, and its journal's records."""
+"""A courier of the replication model: its state in memory and on disk, and the records of its journal."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class RecordKind(Enum):
-    """What a journal record says of a message."""
+    """The event of a message that a journal record contains."""
 
     ACCEPTED = "accepted"
     ATTEMPT_STARTED = "attempt-started"
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class MessageState:
-    """What a journal says of a message."""
+    """The state of a message according to a journal."""
 
     attempt_count: int = 0
     is_in_flight: bool = False
@@ -44,12 +44,12 @@
 
 
 def encode_journal_record(kind: RecordKind, message_id: str) -> bytes:
-    """Return a record of the model's journal."""
+    """Encode a record of the model's journal."""
     return f"{kind.value} {message_id}".encode()
 
 
 def message_states(records: list[bytes]) -> dict[str, MessageState]:
-    """Return what records say of each message, in the order of acceptance."""
+    """Return the state of each message according to records, in the order of acceptance."""
     states: dict[str, MessageState] = {}
     for record in records:
         kind_name, message_id = record.decode().split()
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromiseRequest:
-    """The successor of an owner asks a replica to promise its epoch."""
+    """The successor of an owner requests that a replica promise its epoch."""
 
     epoch: int
 
@@ -98,7 +98,7 @@
 
 
 class PendingStep(Enum):
-    """What waits until a record is acknowledged by all replicas."""
+    """A step that waits until all replicas have acknowledged a record."""
 
     ACKNOWLEDGE_CLIENT = "acknowledge-client"
     START_ATTEMPT = "start-attempt"
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingRecord:
-    """A record whose acknowledgement a step waits for."""
+    """A step and the record whose acknowledgement it waits for."""
 
     index: int
     step: PendingStep
@@ -123,7 +123,7 @@
     records: list[bytes] = field(default_factory=list)
 
     def persist(self, action: Action) -> None:
-        """Execute a replica set's action on the disk."""
+        """Execute an action of the replica set on disk."""
         match action:
             case PersistEpoch(_, epoch):
                 self.promised_epoch = epoch
@@ -139,51 +139,51 @@
 
 @dataclass(slots=True)
 class ModelCourier:
-    """One courier, with its disk and the state of its current incarnation."""
+    """One courier: its disk and the state of its current incarnation."""
 
     name: str
     incarnation: int = 1
     journal: list[bytes] = field(default_factory=list)  # on disk
-    journal_epoch: int = 0  # on disk: the epoch under which the journal is its own
+    journal_epoch: int = 0  # on disk: epoch under which the courier owns the journal
     stored_replicas: dict[str, StoredReplica] = field(default_factory=dict)  # on disk, by owner
     replica_set: ReplicaSet = field(default_factory=ReplicaSet)
     stream: ReplicationStream | None = None
     is_running: bool = True
-    lease_table: LeaseTable = field(default_factory=LeaseTable)  # as far as it knows
-    lease_until_ms: float = 0.0  # until when it believes that it holds the journal's lease
+    lease_table: LeaseTable = field(default_factory=LeaseTable)  # the latest that the courier has received
+    lease_expires_at_ms: float = 0.0  # expiry of its lease on the journal
     frozen_rounds: int = 0
     unread: list[ReceivedMessage[ModelMessage]] = field(default_factory=list)
     pending: list[PendingRecord] = field(default_factory=list)
-    takeover_epoch: int = 0  # under which it takes the journal over
+    takeover_epoch: int = 0  # epoch of its takeover of the journal
     has_completed_takeover: bool = False
-    promised_by: set[str] = field(default_factory=set)  # replicas that have promised that epoch
-    taken_over: dict[str, MessageState] = field(default_factory=dict)
+    promised_by: set[str] = field(default_factory=set)  # replicas that have promised `takeover_epoch`
+    taken_over_messages: dict[str, MessageState] = field(default_factory=dict)
 
     @property
     def is_active(self) -> bool:
-        """Whether it runs and is not frozen."""
+        """Whether the courier runs and is not frozen."""
         return self.is_running and not self.frozen_rounds
 
     def crash(self) -> None:
-        """Lose all that is in memory."""
+        """Stop the process and lose the state in memory."""
         self.is_running = False
         self.stream = None
         self.pending = []
         self.unread = []
-        self.lease_until_ms = 0.0
+        self.lease_expires_at_ms = 0.0
         self.takeover_epoch = 0
         self.has_completed_takeover = False
         self.promised_by = set()
-        self.taken_over = {}
+        self.taken_over_messages = {}
 
     def lose_data_directory(self) -> None:
-        """Lose all that is on disk."""
+        """Lose the state on disk."""
         self.journal = []
         self.journal_epoch = 0
         self.stored_replicas = {}
 
     def restart(self) -> None:
-        """Start the next incarnation from the disk."""
+        """Start the next incarnation from the state on disk."""
         self.is_running = True
         self.incarnation += 1
         self.replica_set = ReplicaSet(
@@ -194,27 +194,27 @@
         )
 
     def stored_replica(self, owner: str) -> StoredReplica:
-        """Return the replica of an owner's journal on disk, created if there is none."""
+        """Return the replica of an owner's journal on disk; create it if it does not exist."""
         return self.stored_replicas.setdefault(owner, StoredReplica())
 
     def replicated_messages(self, owner: str) -> dict[str, MessageState]:
-        """Return what its replica says of an owner's messages."""
+        """Return the states of an owner's messages according to the replica of its journal."""
         stored = self.stored_replicas.get(owner)
         return message_states(stored.records) if stored is not None else {}
 
     def promise_epoch(self, owner: str, epoch: int) -> None:
-        """Promise an epoch of an owner's journal, and persist that."""
+        """Promise an epoch of an owner's journal, and persist the promise."""
         for action in self.replica_set.promise_epoch(owner, epoch)[0]:
             self.stored_replica(owner).persist(action)
 
     def start_takeover(self, epoch: int) -> None:
-        """Start to take the journal over under an epoch, unless that is under way."""
+        """Start a takeover of the journal under an epoch unless it is in progress."""
         if self.takeover_epoch != epoch:
             self.takeover_epoch = epoch
             self.has_completed_takeover = False
             self.promised_by = set()
 
     def record_promise(self, node: str, epoch: int) -> None:
-        """Record a replica's promise for the takeover that is under way."""
+        """Record a replica's promise for the takeover in progress."""
         if self.takeover_epoch == epoch and not self.has_completed_takeover:
             self.promised_by.add(node)
--- a/winchspan/model_checking/replication_environment.py
+++ b/winchspan/model_checking/replication_environment.py
@@ -1,4 +1,4 @@
-"""What surrounds the couriers of the replication model: faults, the network, and the destination."""
+"""The environment of the couriers in the replication model: faults, network, clock and destination."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 OWNER: Final = "a"
 MESSAGE_IDS: Final = ("m1", "m2")  # of one key, in the order of acceptance
 ROUND_MS: Final = 100.0
-SERVICE_ROUNDS: Final = 2  # that the destination works on a call
-SHORT_AND_LONG_ROUNDS: Final = (4, 40)  # of a fault: less than a lease, and more than grace and a takeover
+SERVICE_ROUNDS: Final = 2  # duration of a call at the destination
+SHORT_AND_LONG_ROUNDS: Final = (4, 40)  # fault durations: below a lease, and above grace period plus takeover
 LONG_ROUNDS: Final = SHORT_AND_LONG_ROUNDS[-1]
 
 ReplicationEnvelope: TypeAlias = Envelope[ModelMessage]
@@ -24,20 +24,20 @@
 
 
 class FaultKind(Enum):
-    """What may go wrong."""
+    """The kind of a fault; the values appear in counterexamples."""
 
     KILL = "kill"
     LOSE_DATA_DIRECTORY = "lose-data-directory"
     FREEZE = "freeze"
     ISOLATE = "isolate"
-    PARTITION = "partition"  # between two couriers, both ways
-    MUTE = "mute"  # from one courier to another only
-    SLOW_CLOCK = "slow-clock"  # the owner believes in its lease for too long
+    PARTITION = "partition"  # between two couriers, in both directions
+    ONE_WAY_PARTITION = "mute"  # from one courier to another, in this direction only
+    SLOW_CLOCK = "slow-clock"  # the owner treats its lease as valid for too long
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A fault at a courier, or between it and a peer, for a number of rounds."""
+    """A fault of a courier, or of the link between a courier and a peer, for a number of rounds."""
 
     kind: FaultKind
     courier: str
@@ -46,7 +46,7 @@
 
 
 class Defect(Enum):
-    """What a test breaks in the model on purpose."""
+    """A safeguard that a test removes to verify that the model checker finds the violation."""
 
     ATTEMPT_START_NOT_REPLICATED = "attempt start not replicated"
     LEASE_NOT_CHECKED = "lease not checked"
@@ -56,13 +56,13 @@
 
 @dataclass(slots=True)
 class ModelClock:
-    """The time, and for how many rounds the owner's clock lets it believe in its lease."""
+    """The time, and the remaining rounds for which the owner's slow clock keeps its lease valid."""
 
     now: float = 0.0  # ms
     slow_rounds: int = 0
 
     def advance_round(self) -> None:
-        """Let a round pass."""
+        """Advance by one round."""
         self.now += ROUND_MS
 
 
@@ -70,12 +70,12 @@
     """How a message was first completed."""
 
     DELIVERED = "delivered"
-    NOTIFIED = "notified"  # its client was told that it may have been executed
+    NOTIFIED = "notified"  # the client was notified that it may have been executed
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A call that the destination works on."""
+    """A call that the destination processes."""
 
     courier: str
     message_id: str
@@ -83,13 +83,13 @@
 
 
 class ModelDestination:
-    """The destination, and the promises to the client that are checked with each call."""
+    """The destination, which checks the delivery guarantees with each call."""
 
     def __init__(self, *, at_most_once: bool) -> None:
-        """Start without any call.
+        """Create a destination without calls.
 
         Args:
-            at_most_once: whether a message may be executed once only; else it is idempotent.
+            at_most_once: whether a message may be executed at most once; otherwise it is idempotent.
         """
         self.at_most_once = at_most_once
         self.acknowledged: list[str] = []  # messages answered +OK
@@ -101,7 +101,7 @@
         """Execute a message.
 
         Raises:
-            InvariantViolationError: if a promise to the client is broken.
+            InvariantViolationError: if the call violates a delivery guarantee.
         """
         if any(message_id == call.message_id for call in self.calls):
             raise InvariantViolationError(f"two calls of {message_id} at once")
@@ -118,7 +118,7 @@
         self.calls.append(Call(courier, message_id, SERVICE_ROUNDS))
 
     def advance_round(self) -> Iterator[Call]:
-        """Work on all calls, and yield each that is delivered before the next one is looked at."""
+        """Advance all calls by one round, and yield each completed call before advancing the next."""
         calls = self.calls
         self.calls = []
         for call in calls:
@@ -129,29 +129,29 @@
             yield call
 
     def complete(self, message_id: str, completion: Completion) -> None:
-        """Record how a message was completed first."""
+        """Record the first completion of a message."""
         self.completions.setdefault(message_id, completion)
 
     def abort_calls(self, courier: str) -> None:
-        """Close the connections of a courier."""
+        """Abort the calls of a courier."""
         self.calls = [call for call in self.calls if call.courier != courier]
 
-    def is_called_by(self, courier: str) -> bool:
+    def has_call_from(self, courier: str) -> bool:
         """Whether a courier has a call in flight."""
         return any(call.courier == courier for call in self.calls)
 
-    def is_called_for(self, courier: str, message_id: str) -> bool:
-        """Whether a courier has a call of a message in flight."""
+    def has_call_for(self, courier: str, message_id: str) -> bool:
+        """Whether a courier has a call with a message in flight."""
         return any((call.courier, call.message_id) == (courier, message_id) for call in self.calls)
 
     def incomplete(self) -> list[str]:
-        """Return the messages that were answered +OK and have no completion yet."""
+        """Return the messages that were acknowledged with +OK and are not complete."""
         return [message_id for message_id in self.acknowledged if message_id not in self.completions]
 
 
 @dataclass(frozen=True, slots=True)
 class Environment:
-    """All that surrounds the couriers."""
+    """The environment of the couriers."""
 
     clock: ModelClock
     network: ReplicationNetwork
--- a/winchspan/model_checking/replication_service.py
+++ b/winchspan/model_checking/replication_service.py
@@ -1,4 +1,7 @@
-"""What `winchspan.cluster.replication_service` does at each courier, without sockets, for the model."""
+"""Drives replication, attempts and takeovers at each courier of the replication model.
+
+Follows `winchspan.cluster.replication_service`, without sockets.
+"""
 
 from __future__ import annotations
 
@@ -50,25 +53,27 @@
         self._defects = environment.defects
 
     def accept(self, courier: ModelCourier, message_id: str) -> bool:
-        """Accept a client's message if the courier believes that it owns its journal."""
+        """Accept a client's message if the courier's lease on its journal is valid by its clock."""
         if courier.stream is None or self.lease_epoch(courier) != courier.stream.epoch:
             return False
         self._append(courier, RecordKind.ACCEPTED, message_id, PendingStep.ACKNOWLEDGE_CLIENT)
         return True
 
     def lease_epoch(self, courier: ModelCourier) -> int:
-        """Return the epoch under which a courier may act on the journal, as it believes; 0: it may not."""
+        """Return the epoch of the courier's lease on the journal if it is valid by its clock; 0: none."""
         lease = courier.lease_table.leases.get(ROLE)
         if lease is None or (lease.holder, lease.process_nonce) != (courier.name, courier.incarnation):
             return 0
         has_slow_clock = self._clock.slow_rounds > 0 and courier.name == OWNER
         ignores_lease = Defect.LEASE_NOT_CHECKED in self._defects
         return (
-            lease.epoch if self._clock.now < courier.lease_until_ms or has_slow_clock or ignores_lease else 0
+            lease.epoch
+            if self._clock.now < courier.lease_expires_at_ms or has_slow_clock or ignores_lease
+            else 0
         )
 
     def run_round(self, courier: ModelCourier) -> None:
-        """Do what is due at a courier."""
+        """Run the actions that are due at a courier."""
         epoch = self.lease_epoch(courier)
         if courier.name == OWNER:
             self._run_owner(courier, epoch)
@@ -97,7 +102,7 @@
     def _append(
         self, courier: ModelCourier, kind: RecordKind, message_id: str, step: PendingStep | None = None
     ) -> None:
-        """Append a record to the owner's journal; a step follows once all replicas have it."""
+        """Append a record to the owner's journal; `step` runs after all replicas have acknowledged it."""
         assert courier.stream is not None
         record = encode_journal_record(kind, message_id)
         courier.journal.append(record)
@@ -133,29 +138,29 @@
                     self._destination.start_call(courier.name, released.message_id)
 
     def _start_next_attempt(self, courier: ModelCourier, epoch: int) -> None:
-        """Start the first open message of the key, one at a time."""
+        """Start an attempt of the first incomplete message of the key."""
         is_owner = courier.name == OWNER
-        states = message_states(courier.journal) if is_owner else courier.taken_over
+        states = message_states(courier.journal) if is_owner else courier.taken_over_messages
         for message_id, state in states.items():
             if state.is_completed:
                 continue
             if is_owner:
                 self._start_as_owner(courier, epoch, message_id, state)
-            elif courier.lease_until_ms > self._clock.now:
+            elif courier.lease_expires_at_ms > self._clock.now:
                 self._start_as_successor(courier, message_id, state)
             return
 
     def _start_as_owner(
         self, courier: ModelCourier, epoch: int, message_id: str, state: MessageState
     ) -> None:
-        is_mine = courier.stream is not None and epoch == courier.stream.epoch
-        is_busy = self._destination.is_called_for(OWNER, message_id) or any(
+        is_current_owner = courier.stream is not None and epoch == courier.stream.epoch
+        is_in_progress = self._destination.has_call_for(OWNER, message_id) or any(
             pending.message_id == message_id for pending in courier.pending
         )
-        if not is_mine or is_busy or message_id not in self._destination.acknowledged:
+        if not is_current_owner or is_in_progress or message_id not in self._destination.acknowledged:
             return
         if state.is_in_flight and self._destination.at_most_once:
-            # The previous incarnation had it in flight: it may have been executed.
+            # In flight at the end of the previous incarnation: it may have been executed.
             self._append(courier, RecordKind.COMPLETED, message_id)
             self._destination.complete(message_id, Completion.NOTIFIED)
         else:
@@ -165,11 +170,11 @@
         if state.attempt_count and self._destination.at_most_once:
             state.is_completed = True
             self._destination.complete(message_id, Completion.NOTIFIED)
-        elif not self._destination.is_called_by(courier.name):
+        elif not self._destination.has_call_from(courier.name):
             self._destination.start_call(courier.name, message_id)
 
     def _take_over(self, courier: ModelCourier, epoch: int) -> None:
-        """Take the owner's journal over once all its replicas that are reachable have promised the epoch."""
+        """Take over the owner's journal after all its reachable replicas have promised the epoch."""
         if courier.lease_table.completed_takeovers.get(OWNER, 0) >= epoch:
             return
         if courier.takeover_epoch == epoch and courier.has_completed_takeover:
@@ -178,28 +183,30 @@
         courier.promise_epoch(OWNER, epoch)
         placement = courier.lease_table.placements.get(OWNER)
         replicas = set(placement.replicas) if placement is not None else set()
-        needed = (replicas & self._consensus.majority()) - {courier.name}
-        if not needed <= courier.promised_by:
-            for name in sorted(needed):
+        required_replicas = (replicas & self._consensus.majority()) - {courier.name}
+        if not required_replicas <= courier.promised_by:
+            for name in sorted(required_replicas):
                 self._network.send(courier.name, name, PromiseRequest(epoch))
             return
-        found = courier.replicated_messages(OWNER)
-        self._check_most_complete(courier, found, needed)
-        courier.taken_over |= {
-            message_id: state for message_id, state in found.items() if message_id not in courier.taken_over
+        replicated_messages = courier.replicated_messages(OWNER)
+        self._check_most_complete(courier, replicated_messages, required_replicas)
+        courier.taken_over_messages |= {
+            message_id: state
+            for message_id, state in replicated_messages.items()
+            if message_id not in courier.taken_over_messages
         }
         courier.has_completed_takeover = True
-        self._consensus.agree(TakeoverCompleted(OWNER, epoch).encode())
+        self._consensus.commit(TakeoverCompleted(OWNER, epoch).encode())
 
     def _check_most_complete(
-        self, courier: ModelCourier, found: dict[str, MessageState], others: set[str]
+        self, courier: ModelCourier, replicated_messages: dict[str, MessageState], others: set[str]
     ) -> None:
-        for message_id, state in found.items():
+        for message_id, state in replicated_messages.items():
             for name in others:
                 other = self._couriers[name].replicated_messages(OWNER).get(message_id)
                 if not state.is_completed and other is not None and other.is_completed:
                     raise InvariantViolationError(
-                        f"{courier.name} takes {message_id} over as open, "
+                        f"{courier.name} takes over {message_id} as incomplete, "
                         "which a live replica has as completed"
                     )
 
@@ -239,8 +246,8 @@
     def _receive_response(self, courier: ModelCourier, message_id: str) -> None:
         if courier.name == OWNER and courier.stream is not None:
             self._append(courier, RecordKind.COMPLETED, message_id)
-        elif message_id in courier.taken_over:
-            courier.taken_over[message_id].is_completed = True
+        elif message_id in courier.taken_over_messages:
+            courier.taken_over_messages[message_id].is_completed = True
 
     def _receive_replication(
         self, courier: ModelCourier, source: str, message: ReplicateRecords | SnapshotChunk
--- a/winchspan/net/connection_pool.py
+++ b/winchspan/net/connection_pool.py
@@ -27,7 +27,7 @@
 """Time from the first byte of a response to its last."""
 
 RETIREMENT_MARGIN_MS: Final = 1_000.0
-"""Time before the server's keep-alive timeout at which an idle connection is retired, or half the timeout.
+"""Time before the server's keep-alive timeout at which an idle connection is retired, at most half of it.
 
 A request that is sent while the server closes the connection ends with a reset, and may have been executed.
 """
--- a/winchspan/simulation/__init__.py
+++ b/winchspan/simulation/__init__.py
@@ -1,8 +1,11 @@
-"""The emulator: unchanged couriers in virtual time, on a network of its own.
+"""The emulator: runs unchanged couriers in virtual time on an emulated network.
 
-`loop` is an asyncio event loop whose clock jumps to the next deadline; `network` carries bytes between
-hosts over `links` with delays and faults; `machine` is a host with clock and disk, and `incarnation` what
-one process on it sees; `emulation` plays whole scenarios with the faults of an `environment`, `cluster`
-whole fleets; `audit` checks the platform's rules on what crosses the network. The same seed gives the same
-run, to the byte.
+- `loop`: an asyncio event loop whose clock jumps to the next deadline.
+- `network`, `links`: carry bytes between hosts, with delays and faults.
+- `machine`, `incarnation`: a host with clock and disk, and a process on it.
+- `environment`, `emulation`: the faults of a run, and the run of a scenario with them.
+- `cluster`: a fleet of couriers.
+- `audit`: checks the platform's rules on all network traffic.
+
+Two runs with the same seed exchange the same bytes at the same virtual times.
 """
--- a/winchspan/simulation/__main__.py
+++ b/winchspan/simulation/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m winchspan.simulation`: plays an outage and faults with real couriers in virtual time."""
+"""`python -m winchspan.simulation`: runs unchanged couriers in virtual time with an outage and faults."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import click
 from loguru import logger
 
-from winchspan.fakes.partner import Mode, Outage, PartnerSettings
+from winchspan.fakes.partner import Outage, OutageMode, PartnerSettings
 from winchspan.fakes.scenario import Scenario, storm_scenario
 from winchspan.runtime.clock import MS_PER_SECOND
 from winchspan.simulation.audit.rules import RULES, Violation
@@ -19,14 +19,14 @@
 from winchspan.simulation.emulation import Emulation, EmulationResult
 from winchspan.simulation.environment import Environment, FaultKind, InjectedFault
 from winchspan.simulation.link import LinkProfile
-from winchspan.simulation.loop import FIRST_READING_NS, NS_PER_MS
+from winchspan.simulation.loop import INITIAL_CLOCK_NS, NS_PER_MS
 
 EXIT_RULE_BROKEN: Final = 1
 EXIT_NOT_PLAYED: Final = 2
 MAX_SHOWN_VIOLATIONS: Final = 20
 NO_OUTAGE: Final = "none"
 _FAULT_FORM: Final = "WHAT PLACE[>PLACE] AT [SECONDS]"
-_HASH_DIGITS: Final = 16  # of the trace, which is shown in part
+_HASH_DIGITS: Final = 16  # leading hexadecimal digits of the trace hash that are printed
 
 
 class FaultParameter(click.ParamType):  # type: ignore[type-arg]  # its argument is for type checkers only
@@ -37,7 +37,7 @@
     def convert(
         self, value: object, param: click.Parameter | None, ctx: click.Context | None
     ) -> InjectedFault:
-        """Parse it."""
+        """Parse the text of an option `--trouble`."""
         if isinstance(value, InjectedFault):
             return value
         kind_text, _, rest = str(value).partition(" ")
@@ -52,12 +52,12 @@
             self.fail(f"{value!r}: expected {', '.join(FaultKind)}, not {kind_text!r}", param, ctx)
         kind = FaultKind(kind_text)
         if kind is FaultKind.PARTITION and not target:
-            self.fail(f"{value!r}: a cut is from one place to another, such as n0>partner_7", param, ctx)
+            self.fail(f"{value!r}: a cut needs a source and a target host, such as n0>partner_7", param, ctx)
         return InjectedFault(at_ms, kind, source, target, duration_ms)
 
 
 class EmulationOptions(TypedDict):
-    """The options of the command line, by their names there."""
+    """The options of the command line; each key is an option's name."""
 
     couriers: int
     load: float
@@ -79,7 +79,7 @@
     type=click.FloatRange(0.1, 2.0),
     default=0.9,
     show_default=True,
-    help="of the rate that the partner lists",
+    help="submitted messages as a share of the rate that the partner lists",
 )
 @click.option(
     "--seconds",
@@ -90,55 +90,65 @@
 )
 @click.option(
     "--mode",
-    type=click.Choice([*(mode.value for mode in Mode), NO_OUTAGE]),
+    type=click.Choice([*(mode.value for mode in OutageMode), NO_OUTAGE]),
     default="silent",
     show_default=True,
-    help="what the partner does meanwhile",
+    help="behavior of the partner during the outage",
 )
-@click.option("--seed", type=int, default=1, show_default=True, help="of all random numbers")
+@click.option("--seed", type=int, default=1, show_default=True, help="seed of all random numbers")
 @click.option(
     "--operator",
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
-    help="the operator's file for the couriers; none: with everything off",
+    help="operator's file for the couriers; all its features are off by default",
+)
+@click.option(
+    "--latency",
+    type=click.FloatRange(0.0, 10_000.0),
+    default=0.2,
+    show_default=True,
+    help="minimum delay of all links in ms",
 )
-@click.option("--latency", type=click.FloatRange(0.0, 10_000.0), default=0.2, show_default=True, help="ms")
 @click.option(
     "--jitter",
     type=click.FloatRange(0.0, 10_000.0),
     default=0.0,
     show_default=True,
-    help="ms, the mean of an exponential delay",
+    help="mean of an additional exponential delay in ms",
 )
-@click.option("--torn", is_flag=True, help="reads and writes break at random boundaries")
+@click.option("--torn", is_flag=True, help="split reads and writes at random boundaries")
 @click.option(
     "--trouble",
     "troubles",
     type=FaultParameter(),
     multiple=True,
-    help="such as 'vanish n0 20 5', 'cut n0>partner_7 30 4', 'reset n1 12', 'term n2 40 0.6'",
+    help="a fault, such as 'vanish n0 20 5', 'cut n0>partner_7 30 4', 'reset n1 12', 'term n2 40 0.6'",
 )
-@click.option("--show", is_flag=True, help="print each message's end")
+@click.option("--show", is_flag=True, help="print the outcome of each message")
 def main(**options: Unpack[EmulationOptions]) -> None:
-    """Play an outage of one partner with real couriers on an emulated network, in virtual time.
+    """Run unchanged couriers on an emulated network in virtual time, with an outage of one partner.
 
-    Exits with 1 if a rule was broken, with 2 if it could not be played.
+    Exits with 1 if a rule was broken, with 2 if the emulation could not run.
 
     Example: python -m winchspan.simulation --seconds 60 --torn --trouble 'vanish n0 20 5'
     """
     logger.remove()
     begin_seconds = time.perf_counter()
     try:
-        played = play(options)
+        emulation_result = play(options)
     except EmulationError as err:
-        click.echo(f"the emulation could not be played: {err}", err=True)
+        click.echo(f"cannot run the emulation: {err}", err=True)
         sys.exit(EXIT_NOT_PLAYED)
-    print_result(played, time.perf_counter() - begin_seconds)
-    print_violations(played)
-    sys.exit(EXIT_RULE_BROKEN if played.violations else 0)
+    print_result(emulation_result, time.perf_counter() - begin_seconds)
+    print_violations(emulation_result)
+    sys.exit(EXIT_RULE_BROKEN if emulation_result.violations else 0)
 
 
 def play(options: EmulationOptions) -> EmulationResult:
-    """Play what the options describe; raises EmulationError."""
+    """Run the emulation that the options describe.
+
+    Raises:
+        EmulationError: if the options ask for something that cannot be emulated.
+    """
     environment = Environment(
         LinkProfile(options["latency"], options["jitter"]),
         is_fragmenting=options["torn"],
@@ -157,36 +167,37 @@
     duration_ms = options["seconds"] * MS_PER_SECOND
     outages: tuple[Outage, ...] = ()
     if options["mode"] != NO_OUTAGE:
-        outages = (Outage(duration_ms / 4, duration_ms / 2, Mode(options["mode"])),)
+        outages = (Outage(duration_ms / 4, duration_ms / 2, OutageMode(options["mode"])),)
     partner = PartnerSettings(outages=outages)
-    return storm_scenario(options["load"], options["couriers"], partner=partner, lasts=duration_ms)
+    return storm_scenario(options["load"], options["couriers"], partner=partner, duration_ms=duration_ms)
 
 
-def print_result(played: EmulationResult, real_seconds: float) -> None:
-    """Print what came of the messages, and how long it took."""
-    result = played.result
+def print_result(emulation_result: EmulationResult, real_seconds: float) -> None:
+    """Print the outcomes of the messages, and the duration of the run."""
+    result = emulation_result.result
     click.echo(
         f"{result.ended} messages: {result.delivered} delivered, {result.ended - result.delivered} not; "
         f"worth {result.worth:.1%} of what was asked for, {result.worth_other:.1%} at the other partner"
     )
     click.echo(
-        f"{played.virtual_seconds:.0f} s of virtual time in {real_seconds:.1f} s; "
-        f"{played.event_count} arrivals, {played.byte_count} bytes; trace {played.trace[:_HASH_DIGITS]}"
+        f"{emulation_result.virtual_seconds:.0f} s of virtual time in {real_seconds:.1f} s; "
+        f"{emulation_result.event_count} arrivals, {emulation_result.byte_count} bytes; "
+        f"trace {emulation_result.trace_hash[:_HASH_DIGITS]}"
     )
 
 
-def print_violations(played: EmulationResult) -> None:
-    """Print each broken rule, and the first violations with their evidence."""
-    for rule, count in played.violation_counts.items():
+def print_violations(emulation_result: EmulationResult) -> None:
+    """Print how often each rule was broken, and the first violations with their evidence."""
+    for rule, count in emulation_result.violation_counts.items():
         if count:
             click.echo(f"broken {count} times: {RULES[rule]}")
-    for violation in played.violations[:MAX_SHOWN_VIOLATIONS]:
+    for violation in emulation_result.violations[:MAX_SHOWN_VIOLATIONS]:
         click.echo(f"  {_describe(violation)}")
-    click.echo("" if played.violations else "no rule was broken")
+    click.echo("" if emulation_result.violations else "no rule was broken")
 
 
 def _describe(violation: Violation) -> str:
-    at_ms = violation.at_ms - FIRST_READING_NS / NS_PER_MS
+    at_ms = violation.at_ms - INITIAL_CLOCK_NS / NS_PER_MS
     return f"{at_ms:10.1f} ms {violation.rule} {violation.message_id}: {violation.evidence}"
 
 
--- a/winchspan/simulation/audit/__init__.py
+++ b/winchspan/simulation/audit/__init__.py
@@ -1,7 +1,8 @@
-"""The auditor: checks the platform's rules on everything that crosses the couriers' sockets.
+"""The auditor: checks the platform's rules on all traffic of the couriers' sockets.
 
-`rules` names the rules and keeps violations; `records` and `message_registry` hold what the sockets have
-shown of couriers, endpoints and messages; `client_connection` and `outgoing_connection` read the
-connections with the parsers of `wire_parsers`; `submissions`, `calls`, `notifications` and `endpoint_list`
-judge what they read; `auditor` connects all of it to the network.
+- `rules`: the rules, and the log of violations.
+- `records`, `message_registry`: the state of couriers, endpoints and messages as observed on the sockets.
+- `client_connection`, `outgoing_connection`: read the connections with the parsers of `wire_parsers`.
+- `submissions`, `calls`, `notifications`, `endpoint_list`: check the requests and responses that were read.
+- `auditor`: connects these parts to the network.
 """
--- a/winchspan/simulation/audit/auditor.py
+++ b/winchspan/simulation/audit/auditor.py
@@ -1,8 +1,8 @@
-"""Watches what crosses the couriers' sockets, not their inside, and checks every rule of the platform.
+"""Checks every rule of the platform on the traffic of the couriers' sockets, without access to their state.
 
-Its memory does not grow with a run: messages are forgotten some time after their end. It judges by what a
-courier can know: bytes count as sent when the courier's system accepts them, and as received when they
-reach it. Where PROTOCOL gives a limit, 50 ms are added, as its rules on sockets do.
+Memory use does not grow with the length of a run, because messages are removed some time after their end.
+The checks use the times at a courier's system: bytes count as sent when it accepts them, and as received when
+they reach it. 50 ms are added to each time limit of PROTOCOL, as its rules on sockets do.
 """
 
 from __future__ import annotations
@@ -24,30 +24,30 @@
 from winchspan.simulation.loop import NS_PER_MS
 from winchspan.simulation.trace import Side
 
-OVERDUE_NS: Final = 300 * NS_PER_MS
-"""How long after a message's deadline its end counts as lost."""
+OVERDUE_AFTER_NS: Final = 300 * NS_PER_MS
+"""Time after a message's deadline by which its end must have been seen, with `GRACE_NS` on top."""
 
 START_GRACE_NS: Final = 1_500 * NS_PER_MS
-"""After a start, for how long what is overdue is not held against the courier."""
+"""Time after a courier's start before which overdue messages are not reported as violations."""
 
-ABANDONED_NS: Final = 600_000 * NS_PER_MS
-"""How long after its deadline a message counts as finished, whatever became of it."""
+ABANDONED_AFTER_NS: Final = 600_000 * NS_PER_MS
+"""Time after a message's deadline at which it counts as finished, whatever its state."""
 
 
 class Auditor:
-    """All rules, over all couriers of a run: a `TrafficObserver` of the network.
+    """Checks all rules for all couriers of a run, as the `TrafficObserver` of the network.
 
     Attributes:
-        violation_log: the violations so far.
+        violation_log: the violations found so far.
     """
 
     def __init__(self, settings: Settings, courier_hosts: list[str], now_ns: Callable[[], int]) -> None:
-        """Watch the couriers on some hosts.
+        """Create an auditor.
 
         Args:
-            settings: the platform's.
-            courier_hosts: the hosts.
-            now_ns: reads the loop's clock.
+            settings: the platform's settings.
+            courier_hosts: the hosts of the couriers to audit.
+            now_ns: returns the time of the loop's clock in ns.
         """
         self.violation_log = ViolationLog()
         self._now_ns = now_ns
@@ -60,30 +60,30 @@
         )
         self._connections: dict[ConnectionEnd, ClientConnection | OutgoingConnection] = {}
 
-    # ---- what it has seen --------------------------------------------------------------------------------
+    # ---- statistics --------------------------------------------------------------------------------------
     @property
     def call_count(self) -> int:
-        """How many calls couriers have begun."""
+        """Number of calls that couriers have begun."""
         return self._outgoing.calls.call_count
 
     @property
     def accepted_count(self) -> int:
-        """How many messages couriers have accepted."""
+        """Number of messages that couriers have accepted."""
         return self._registry.accepted_count
 
     @property
     def max_known_messages(self) -> int:
-        """How many messages it has remembered at once."""
+        """Maximum number of messages in the registry at any time."""
         return self._registry.max_size
 
     @property
     def open_connection_count(self) -> int:
-        """How many connections it follows."""
+        """Number of connections that are being observed."""
         return len(self._connections)
 
-    # ---- what happens to couriers ------------------------------------------------------------------------
+    # ---- events of couriers ------------------------------------------------------------------------------
     def on_courier_started(self, host: str) -> None:
-        """Handle a new incarnation, which knows no waits and no endpoints yet."""
+        """Handle the start of an incarnation, which has not received any waits or endpoints."""
         courier = self._couriers[host]
         courier.started_at_ns = self._now_ns()
         courier.is_running = True
@@ -91,30 +91,30 @@
         courier.endpoints = {}
 
     def on_courier_stopped(self, host: str) -> None:
-        """Handle that a courier has ended, or has been told to end."""
+        """Handle that a courier has ended, or has been signalled to end."""
         courier = self._couriers[host]
         courier.is_running = False
         courier.stopped_at_ns = self._now_ns()
 
     def on_courier_suspended(self, host: str, duration_ms: float) -> None:
-        """Handle a suspension: what the courier owes meanwhile it owes once that is over."""
+        """Handle a suspension: messages that become overdue during it are due at its end."""
         self._couriers[host].resumed_at_ns = self._now_ns() + int(duration_ms * NS_PER_MS)
 
     def on_endpoint_offline(self, host: str, endpoint_name: str) -> None:
-        """Handle that a courier has taken an endpoint offline for its operators."""
+        """Handle that operators have taken an endpoint offline at a courier."""
         self._couriers[host].offline_since_ns.setdefault(endpoint_name, self._now_ns())
 
     def on_endpoint_online(self, host: str, endpoint_name: str) -> None:
-        """Handle that a courier uses an endpoint again."""
+        """Handle that operators put an endpoint online again at a courier."""
         self._couriers[host].offline_since_ns.pop(endpoint_name, None)
 
     def on_classes_changed(self, host: str, classes: Mapping[str, MessageClass]) -> None:
-        """Handle that other classes bind what is submitted to a courier from now on."""
+        """Handle that other message classes apply to new submissions to a courier."""
         self._couriers[host].classes = classes
 
-    # ---- what crosses the network ------------------------------------------------------------------------
+    # ---- network traffic ---------------------------------------------------------------------------------
     def connection_opened(self, end: ConnectionEnd, port: int) -> None:
-        """Follow a connection that has a courier at this end."""
+        """Start to observe a connection, if this end belongs to a courier."""
         courier = self._couriers.get(end.host)
         if courier is None:
             return
@@ -124,7 +124,7 @@
             self._connections[end] = ClientConnection(courier, self._submissions)
 
     def bytes_sent(self, end: ConnectionEnd, data: bytes) -> None:
-        """Read what a courier has sent."""
+        """Read and check bytes that a courier has sent."""
         connection = self._connections.get(end)
         if connection is None:
             return
@@ -133,47 +133,47 @@
             connection.on_sent(now_ns, data)
         except (WireFormatError, ValueError, KeyError, TypeError, IndexError) as err:
             self.violation_log.record(Rule.FORM, "", now_ns, f"{end.host} sent what cannot be parsed: {err}")
-            self.connection_closed(end, False)  # nothing more of it can be judged
+            self.connection_closed(end, False)  # the rest of the connection cannot be parsed
 
     def bytes_received(self, end: ConnectionEnd, data: bytes) -> None:
-        """Read what has reached a courier."""
+        """Read and check bytes that a courier has received."""
         connection = self._connections.get(end)
         if connection is None:
             return
         try:
             connection.on_received(self._now_ns(), data)
         except (WireFormatError, ValueError, KeyError, TypeError, IndexError):
-            self.connection_closed(end, False)  # nothing more of it can be judged
+            self.connection_closed(end, False)  # the rest of the connection cannot be parsed
 
     def connection_closed(self, end: ConnectionEnd, is_local_close: bool) -> None:
-        """Stop following a connection."""
+        """Stop observing a connection."""
         connection = self._connections.pop(end, None)
         if connection is not None:
             connection.on_closed(self._now_ns(), is_courier_close=is_local_close)
 
-    # ---- ends that are missing ---------------------------------------------------------------------------
+    # ---- overdue messages --------------------------------------------------------------------------------
     def check_overdue(self) -> None:
-        """Check for missing ends, and forget what finished long ago; to be called from time to time."""
+        """Check for overdue messages, and remove messages that finished long ago; called periodically."""
         now_ns = self._now_ns()
         for message in self._registry.messages():
             self._check_end(message, now_ns)
-            if now_ns > message.deadline_ns + ABANDONED_NS:
+            if now_ns > message.deadline_ns + ABANDONED_AFTER_NS:
                 self._registry.finish(message, now_ns)
         self._registry.forget_old(now_ns)
 
     def _check_end(self, message: MessageRecord, now_ns: int) -> None:
-        courier = self._couriers[message.courier]
+        courier = self._couriers[message.courier_host]
         earliest_ns = max(message.deadline_ns, courier.started_at_ns + START_GRACE_NS, courier.resumed_at_ns)
         is_owed = message.is_accepted and not (message.is_finished or message.notified_state)
         if message.is_overdue_reported or not (is_owed and courier.is_running):
             return
-        if now_ns > earliest_ns + OVERDUE_NS + GRACE_NS:
+        if now_ns > earliest_ns + OVERDUE_AFTER_NS + GRACE_NS:
             message.is_overdue_reported = True
             overdue_ms = (now_ns - message.deadline_ns) / NS_PER_MS
             self.violation_log.record(
                 Rule.END,
                 message.id,
                 now_ns,
-                f"accepted by {message.courier}, and neither delivered nor announced "
+                f"accepted by {message.courier_host}, and neither delivered nor announced "
                 f"{overdue_ms:.0f} ms after its deadline",
             )
--- a/winchspan/simulation/audit/calls.py
+++ b/winchspan/simulation/audit/calls.py
@@ -10,7 +10,7 @@
 from winchspan.api import Effect, Settings
 from winchspan.simulation.audit.message_registry import MessageRegistry
 from winchspan.simulation.audit.records import (
-    CROSSING_NS,
+    CROSSING_TOLERANCE_NS,
     GRACE_NS,
     NO_WAIT,
     CourierRecord,
@@ -22,7 +22,7 @@
 
 
 class CallState(StrEnum):
-    """What a call means for one message. The values are PROTOCOL's, in the answer to a batch."""
+    """The result of a call for a message. The values are those of PROTOCOL in the response to a batch."""
 
     OK = "ok"
     ERROR = "error"
@@ -31,20 +31,20 @@
     LATER = "later"
 
 
-EXECUTED_STATES: Final = frozenset({CallState.OK, CallState.ERROR})
-"""After these the message may have been executed."""
+POSSIBLY_EXECUTED_STATES: Final = frozenset({CallState.OK, CallState.ERROR})
+"""Results after which the message may have been executed."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallStart:
-    """A call that begins.
+    """The start of a call.
 
     Attributes:
-        connection: the connection that carries it, as an identity.
-        courier: whose call it is.
-        port: the endpoint's.
-        begin_ns: when its first byte was sent.
-        now_ns: when it was known what it carries.
+        connection: the connection that carries it, used as an identity.
+        courier: the calling courier.
+        port: the port of the endpoint.
+        begin_ns: time when its first byte was sent.
+        now_ns: time when its messages had been read from the request.
     """
 
     connection: object
@@ -55,17 +55,17 @@
 
 
 class CallItem(NamedTuple):
-    """One message as a call names it."""
+    """A message's id and idempotency key as sent in a call."""
 
     message_id: str
     idempotency_key: str
 
 
 class CallChecker:
-    """Judges what begins, what it carries and what came of it.
+    """Checks the start, the content and the result of calls.
 
     Attributes:
-        call_count: the calls so far.
+        call_count: number of calls so far.
     """
 
     def __init__(self, settings: Settings, registry: MessageRegistry, violations: ViolationLog) -> None:
@@ -75,7 +75,7 @@
         self._violations = violations
 
     def on_call(self, call: CallStart, items: list[CallItem]) -> list[MessageRecord]:
-        """Handle a call that begins; return its messages that are known."""
+        """Handle the start of a call; return those of its messages that are registered."""
         self.call_count += 1
         messages = []
         for item in items:
@@ -98,10 +98,10 @@
             )
 
     def on_result(self, message: MessageRecord, begin_ns: int, now_ns: int, state: str) -> None:
-        """Handle the end of a call for one message; `state` is a `CallState` or unknown."""
+        """Handle the end of a call for a message; `state` is a `CallState` or any other text."""
         message.call_in_flight = None
-        if state in EXECUTED_STATES and message.executed_since_ns is None:
-            message.executed_since_ns = begin_ns
+        if state in POSSIBLY_EXECUTED_STATES and message.possibly_executed_since_ns is None:
+            message.possibly_executed_since_ns = begin_ns
         if state == CallState.OK:
             message.delivered_at_ns = now_ns
         if state in (CallState.OK, CallState.GONE):
@@ -109,7 +109,7 @@
 
     @staticmethod
     def on_wait(courier: CourierRecord, now_ns: int, destination: int, wait_ms: float) -> None:
-        """Handle an answer by which a destination announces a wait; the longest one is in force."""
+        """Handle a response in which a destination announces a wait; the wait that ends last is in force."""
         end_ns = now_ns + int(wait_ms * NS_PER_MS)
         if end_ns > courier.waits.get(destination, NO_WAIT).end_ns:
             courier.waits[destination] = WaitWindow(now_ns, end_ns)
@@ -141,9 +141,9 @@
 
     def _check_repeat(self, call: CallStart, message: MessageRecord) -> None:
         message_class = message.message_class
-        if message.executed_since_ns is None or message_class.effect is Effect.REPEATABLE:
+        if message.possibly_executed_since_ns is None or message_class.effect is Effect.REPEATABLE:
             return
-        elapsed_ns = call.begin_ns - message.executed_since_ns
+        elapsed_ns = call.begin_ns - message.possibly_executed_since_ns
         if message_class.effect is Effect.ONCE or elapsed_ns > message_class.dedup_ns + GRACE_NS:
             evidence = (
                 f"{message_class.name} may have been executed, and began again after "
@@ -152,22 +152,26 @@
             self._violations.record(Rule.REPEAT, message.id, call.now_ns, evidence)
 
     def _check_endpoint(self, call: CallStart, message: MessageRecord) -> None:
-        endpoints = [one for one in call.courier.endpoints.values() if one.port == call.port]
+        endpoints = [
+            candidate for candidate in call.courier.endpoints.values() if candidate.port == call.port
+        ]
         if not endpoints:
             return
         if all(endpoint.destination != message.destination for endpoint in endpoints):
             evidence = f"for {message.destination}, and sent to an endpoint of {endpoints[0].destination}"
             self._violations.record(Rule.DESTINATION, message.id, call.begin_ns, evidence)
         grace_ns = self._settings.drain_grace_ns + GRACE_NS
-        closed_at_ns = [call.courier.closed_at_ns(endpoint) for endpoint in endpoints]
-        if all(at_ns is not None and call.begin_ns > at_ns + grace_ns for at_ns in closed_at_ns):
-            elapsed_ms = (call.begin_ns - (closed_at_ns[-1] or 0)) / NS_PER_MS
+        draining_since_ns = [call.courier.draining_since_ns(endpoint) for endpoint in endpoints]
+        if all(
+            since_ns is not None and call.begin_ns > since_ns + grace_ns for since_ns in draining_since_ns
+        ):
+            elapsed_ms = (call.begin_ns - (draining_since_ns[-1] or 0)) / NS_PER_MS
             evidence = f"{endpoints[-1].name} was to get no more calls for {elapsed_ms:.0f} ms"
             self._violations.record(Rule.DRAIN, message.id, call.begin_ns, evidence)
 
     def _check_wait(self, call: CallStart, message: MessageRecord) -> None:
         wait = call.courier.waits.get(message.destination, NO_WAIT)
-        if wait.begin_ns + CROSSING_NS < call.begin_ns < wait.end_ns - GRACE_NS:
+        if wait.begin_ns + CROSSING_TOLERANCE_NS < call.begin_ns < wait.end_ns - GRACE_NS:
             left_ms = (wait.end_ns - call.begin_ns) / NS_PER_MS
             evidence = f"destination {message.destination} had announced a wait of {left_ms:.0f} ms more"
             self._violations.record(Rule.WAIT, message.id, call.begin_ns, evidence)
--- a/winchspan/simulation/audit/endpoint_list.py
+++ b/winchspan/simulation/audit/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Follows the endpoint list that discovery sends to a courier: PROTOCOL, 'Discovery'."""
+"""Maintains the endpoint list that discovery sends to a courier: PROTOCOL, 'Discovery'."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from winchspan.simulation.loop import NS_PER_MS
 
 REMOVED_RETENTION_NS: Final = 60_000 * NS_PER_MS
-"""For how long an endpoint is remembered that the list has removed."""
+"""Time for which an endpoint's record is retained after its removal from the list."""
 
 
 class EndpointRow(TypedDict):
-    """One endpoint of the list."""
+    """An endpoint in an update."""
 
     host: str
     health: NotRequired[str]
@@ -21,14 +21,14 @@
 
 
 class EndpointListUpdate(TypedDict):
-    """One line of the discovery watch: a delta, or a full snapshot if `whole` is true."""
+    """A line of the discovery watch: a delta, or a full snapshot if `whole` is true."""
 
     hosts: list[EndpointRow]
     whole: NotRequired[bool]
 
 
 def apply_endpoint_list(courier: CourierRecord, now_ns: int, update: EndpointListUpdate) -> None:
-    """Apply an update to what a courier knows of its endpoints."""
+    """Apply an update to the endpoints of a courier's record."""
     rows = update["hosts"]
     assert isinstance(rows, list)
     if update.get("whole"):
--- a/winchspan/simulation/audit/message_registry.py
+++ b/winchspan/simulation/audit/message_registry.py
@@ -1,6 +1,6 @@
-"""The messages that the auditor knows.
+"""The messages that the auditor observes.
 
-Finished messages are forgotten after a while, so that memory is bounded.
+Finished messages are removed after `RETENTION_NS`, so that memory is bounded.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from winchspan.simulation.loop import NS_PER_MS
 
 RETENTION_NS: Final = 60_000 * NS_PER_MS
-"""For how long a finished message is remembered."""
+"""Time for which a finished message is retained."""
 
 
 class _FinishedMessage(NamedTuple):
@@ -21,8 +21,8 @@
     message: MessageRecord
 
 
-class _KeyOfCourier(NamedTuple):
-    courier: str
+class _CourierOrderingKey(NamedTuple):
+    courier_host: str
     ordering_key: str
 
 
@@ -30,66 +30,68 @@
     """Messages by id, and unfinished messages by ordering key.
 
     Attributes:
-        accepted_count: how many messages couriers have accepted.
-        max_size: how many messages were known at once.
+        accepted_count: number of messages that couriers have accepted.
+        max_size: maximum number of registered messages at any time.
     """
 
     def __init__(self) -> None:
         self.accepted_count = 0
         self.max_size = 0
         self._messages: dict[str, MessageRecord] = {}
-        self._by_key: dict[_KeyOfCourier, deque[MessageRecord]] = {}  # in the order of submission
-        self._finished: deque[_FinishedMessage] = deque()  # in the order of finishing
+        self._queues_by_ordering_key: dict[
+            _CourierOrderingKey, deque[MessageRecord]
+        ] = {}  # in the order of submission
+        self._finished_messages: deque[_FinishedMessage] = deque()  # in the order of finishing
 
     def find(self, message_id: str) -> MessageRecord | None:
-        """Return a message by its id."""
+        """Return a message by its id; None if it is not registered."""
         return self._messages.get(message_id)
 
     def messages(self) -> Iterable[MessageRecord]:
-        """Return all messages that are remembered."""
+        """Return all registered messages."""
         return self._messages.values()
 
     def add(self, message: MessageRecord) -> None:
-        """Add a message that has been submitted."""
+        """Register a submitted message."""
         self._messages[message.id] = message
         self.max_size = max(self.max_size, len(self._messages))
         if message.ordering_key:
-            self._by_key.setdefault(_key_of(message), deque()).append(message)
+            self._queues_by_ordering_key.setdefault(_ordering_key_of(message), deque()).append(message)
 
     def head_of_line(self, message: MessageRecord) -> MessageRecord:
-        """Return the accepted and unfinished message that is to be delivered before this one, or this one."""
-        queue = self._by_key.get(_key_of(message)) if message.ordering_key else None
+        """Return the accepted, unfinished message that must be delivered before this one; itself if none."""
+        queue = self._queues_by_ordering_key.get(_ordering_key_of(message)) if message.ordering_key else None
         if not queue:
             return message
-        head = next((one for one in queue if one.is_accepted and not one.is_finished), message)
+        head = next((queued for queued in queue if queued.is_accepted and not queued.is_finished), message)
         if head is message:
             return message
         position = queue.index(message) if message in queue else 0
         return head if queue.index(head) < position else message
 
     def finish(self, message: MessageRecord, now_ns: int) -> None:
-        """Mark a message as finished, unless it is already."""
+        """Mark a message as finished, unless it is already finished."""
         if message.is_finished:
             return
         message.is_finished = True
-        self._finished.append(_FinishedMessage(now_ns, message))
-        queue = self._by_key.get(_key_of(message)) if message.ordering_key else None
+        self._finished_messages.append(_FinishedMessage(now_ns, message))
+        queue = self._queues_by_ordering_key.get(_ordering_key_of(message)) if message.ordering_key else None
         if queue is None:
             return
         while queue and queue[0].is_finished:
             queue.popleft()
         if not queue:
-            del self._by_key[_key_of(message)]
+            del self._queues_by_ordering_key[_ordering_key_of(message)]
 
     def forget_old(self, now_ns: int) -> None:
-        """Forget messages that finished, and whose time was up, long ago."""
-        while self._finished:
-            finished_at_ns, message = self._finished[0]
+        """Remove messages whose end and whose deadline are both longer ago than `RETENTION_NS`."""
+        while self._finished_messages:
+            finished_at_ns, message = self._finished_messages[0]
             if now_ns <= max(finished_at_ns, message.deadline_ns) + RETENTION_NS:
                 return
-            self._finished.popleft()
+            self._finished_messages.popleft()
             self._messages.pop(message.id, None)
 
 
-def _key_of(message: MessageRecord) -> _KeyOfCourier:
-    return _KeyOfCourier(message.courier, message.ordering_key)
+def _ordering_key_of(message: MessageRecord) -> _CourierOrderingKey:
+    return _CourierOrderingKey(message.courier_host, message.ordering_key)
--- a/winchspan/simulation/audit/notifications.py
+++ b/winchspan/simulation/audit/notifications.py
@@ -5,19 +5,19 @@
 from typing import TypedDict
 
 from winchspan.simulation.audit.message_registry import MessageRegistry
-from winchspan.simulation.audit.records import CROSSING_NS, CourierRecord, MessageRecord
+from winchspan.simulation.audit.records import CROSSING_TOLERANCE_NS, CourierRecord, MessageRecord
 from winchspan.simulation.audit.rules import Rule, ViolationLog
 
 
 class NotificationRow(TypedDict):
-    """One line of a notification's body."""
+    """A line of a notification's body."""
 
     id: str
     state: str
 
 
 class NotificationChecker:
-    """Judges whether each message is announced once and in one way."""
+    """Checks that each message is announced once, with a single state."""
 
     def __init__(self, registry: MessageRegistry, violations: ViolationLog) -> None:
         self._registry = registry
@@ -26,7 +26,7 @@
     def on_notification(
         self, courier: CourierRecord, now_ns: int, row: NotificationRow
     ) -> MessageRecord | None:
-        """Handle a notification that is sent; return its message if it is known."""
+        """Handle a sent notification; return its message if that is registered."""
         message_id = str(row["id"])
         state = str(row["state"])
         message = self._registry.find(message_id)
@@ -50,7 +50,7 @@
         if message is None:
             return "a notification of a message that nobody has submitted, or that finished long ago"
         delivered_at_ns = message.delivered_at_ns
-        is_late = delivered_at_ns != 0 and now_ns > delivered_at_ns + CROSSING_NS
+        is_late = delivered_at_ns != 0 and now_ns > delivered_at_ns + CROSSING_TOLERANCE_NS
         if is_late and not courier.may_have_missed(delivered_at_ns):
             return f"announced as {state} after its delivery reached the courier"
         if message.notified_state and message.notified_state != state:
--- a/winchspan/simulation/audit/outgoing_connection.py
+++ b/winchspan/simulation/audit/outgoing_connection.py
@@ -1,4 +1,4 @@
-"""Reads a connection that a courier has opened to an endpoint, to discovery or to the platform."""
+"""Reads a courier's connection to an endpoint, to discovery or to the platform."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 _DISCOVERY_PATH: Final = "/api/targets"
 _STATUS_OK: Final = 200
 _STATUS_NO_CONTENT: Final = 204
-_MAX_READ_WATCH_BYTES: Final = 1 << 16  # beyond which lines of a watch that have been read are dropped
+_MAX_READ_WATCH_BYTES: Final = 1 << 16  # lines already read are dropped above this size
 _STATE_BY_STATUS: Final = {
     _STATUS_OK: CallState.OK,
     500: CallState.ERROR,
@@ -29,26 +29,26 @@
 
 @dataclass(frozen=True, slots=True)
 class OutgoingCheckers:
-    """Who judges what couriers send."""
+    """The checkers of the requests that couriers send."""
 
     calls: CallChecker
     notifications: NotificationChecker
 
 
 class OutgoingConnection:
-    """Matches requests and answers of one connection, as the courier's end sees them."""
+    """Matches requests with responses of a connection, as they pass the courier's end."""
 
     def __init__(self, courier: CourierRecord, port: int, checkers: OutgoingCheckers) -> None:
         self._courier = courier
         self._port = port
         self._checkers = checkers
         self._requests = HttpParser()
-        self._answers = HttpParser()
+        self._responses = HttpParser()
         self._request_begin_ns = 0  # when the first byte of the latest request was sent
         self._is_request_complete = False
         self._called_messages: list[MessageRecord] = []  # of the call in flight
         self._notified_messages: list[MessageRecord] = []  # of the notification in flight
-        self._is_watching = False  # the answer is a discovery watch
+        self._is_discovery_watch = False  # the response is a discovery watch
         self._watch_read_bytes = 0
 
     # ---- requests ----------------------------------------------------------------------------------------
@@ -62,7 +62,7 @@
             self._on_call_head(now_ns, self._requests.partial)
 
     def _on_call_head(self, now_ns: int, head: HttpMessage) -> None:
-        """Handle the head of a call with one message, which is enough to know what it carries."""
+        """Handle the head of a call with a single message, which contains the message's id and key."""
         if head.start_line[1] == _CALL_PATH:
             item = CallItem(head.headers.get("x-request-id", ""), head.headers.get("idempotency-key", ""))
             self._begin_call(now_ns, [item])
@@ -81,7 +81,7 @@
         elif path == _NOTIFICATION_PATH:
             self._on_notifications(now_ns, request)
         elif path == _DISCOVERY_PATH:
-            self._is_watching = "follow=1" in query
+            self._is_discovery_watch = "follow=1" in query
             self._watch_read_bytes = 0
         self._is_request_complete = True
 
@@ -96,28 +96,28 @@
         ]
         self._notified_messages = [message for message in messages if message is not None]
 
-    # ---- answers -----------------------------------------------------------------------------------------
+    # ---- responses ---------------------------------------------------------------------------------------
     def on_received(self, now_ns: int, data: bytes) -> None:
         """Handle bytes for the courier; raises WireFormatError, ValueError, KeyError or TypeError."""
-        for answer in self._answers.feed(data):
-            if self._is_watching:
-                self._read_watch(now_ns, answer)
+        for response in self._responses.feed(data):
+            if self._is_discovery_watch:
+                self._read_watch(now_ns, response)
             elif self._notified_messages:
-                self._on_notification_answer(now_ns, answer)
+                self._on_notification_response(now_ns, response)
             elif self._called_messages:
-                self._on_call_answer(now_ns, answer)
-        if self._is_watching and self._answers.partial is not None:
-            self._read_watch(now_ns, self._answers.partial)
+                self._on_call_response(now_ns, response)
+        if self._is_discovery_watch and self._responses.partial is not None:
+            self._read_watch(now_ns, self._responses.partial)
 
-    def _on_notification_answer(self, now_ns: int, answer: HttpMessage) -> None:
-        if answer.status == _STATUS_NO_CONTENT:
+    def _on_notification_response(self, now_ns: int, response: HttpMessage) -> None:
+        if response.status == _STATUS_NO_CONTENT:
             for message in self._notified_messages:
                 self._checkers.notifications.on_acknowledged(message, now_ns)
         self._notified_messages = []
 
-    def _read_watch(self, now_ns: int, answer: HttpMessage) -> None:
+    def _read_watch(self, now_ns: int, response: HttpMessage) -> None:
         """Read the lines of a discovery watch as they arrive."""
-        text = answer.body
+        text = response.body
         while (line_end := text.find(b"\n", self._watch_read_bytes)) >= 0:
             line = bytes(text[self._watch_read_bytes : line_end]).strip()
             self._watch_read_bytes = line_end + 1
@@ -127,14 +127,14 @@
             del text[: self._watch_read_bytes]
             self._watch_read_bytes = 0
 
-    def _on_call_answer(self, now_ns: int, answer: HttpMessage) -> None:
-        """Handle an answer, which means the same for all messages of a call unless it lists their states."""
-        common_state: str = _STATE_BY_STATUS.get(answer.status, CallState.LATER)
+    def _on_call_response(self, now_ns: int, response: HttpMessage) -> None:
+        """Handle a response, whose status applies to all messages of a call unless it lists their states."""
+        common_state: str = _STATE_BY_STATUS.get(response.status, CallState.LATER)
         states: dict[str, str] = {}
-        if answer.status == _STATUS_OK and len(self._called_messages) > 1:
-            states = {row["id"]: row["state"] for row in json.loads(answer.body)}
+        if response.status == _STATUS_OK and len(self._called_messages) > 1:
+            states = {row["id"]: row["state"] for row in json.loads(response.body)}
             common_state = CallState.ERROR if states else common_state
-        wait_ms = float(answer.headers.get("x-ratelimit-wait-ms", "0"))
+        wait_ms = float(response.headers.get("x-ratelimit-wait-ms", "0"))
         if wait_ms > 0.0:
             destination = self._called_messages[0].destination
             self._checkers.calls.on_wait(self._courier, now_ns, destination, wait_ms)
@@ -145,9 +145,9 @@
 
     # ---- end ---------------------------------------------------------------------------------------------
     def on_closed(self, now_ns: int, *, is_courier_close: bool) -> None:
-        """Handle the end of the connection, and with it of a call in flight."""
-        # The first line of an answer with status 200 delivers a single message, whatever becomes of the rest.
-        if len(self._called_messages) == 1 and self._answers.status == _STATUS_OK:
+        """Handle the end of the connection, which also ends a call in flight."""
+        # The status line with status 200 delivers a single message, even if the rest of the response is lost.
+        if len(self._called_messages) == 1 and self._responses.status == _STATUS_OK:
             state = CallState.OK
         elif self._is_request_complete:
             state = CallState.ERROR
--- a/winchspan/simulation/audit/rules.py
+++ b/winchspan/simulation/audit/rules.py
@@ -1,4 +1,4 @@
-"""The rules that the auditor checks, and the violations that it has found."""
+"""The rules that the auditor checks, and the log of violations."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from winchspan.simulation.loop import NS_PER_MS
 
-MAX_KEPT_VIOLATIONS: Final = 100
-"""Violations that are kept with their evidence; all are counted."""
+MAX_RECORDED_VIOLATIONS: Final = 100
+"""Maximum of violations that are recorded with their evidence; all are counted."""
 
 
 class Rule(StrEnum):
-    """A rule of the platform. The values are part of the experiments' results."""
+    """A rule of the platform. The values are part of the results of experiments."""
 
     ANSWER = "answer"
     END = "end"
@@ -31,26 +31,26 @@
     Rule.ANSWER: "each submission has one reply, in order, of the form that PROTOCOL gives",
     Rule.END: "an accepted message ends in time, once, and in one way",
     Rule.COPY: "no message has two calls in flight at once",
-    Rule.REPEAT: "what may have been executed is not sent again beyond what its class allows",
+    Rule.REPEAT: "a message that may have been executed is sent again only as far as its class allows",
     Rule.ORDER: "messages of one key are delivered one at a time, in the order of their submission",
     Rule.DRAIN: "no call begins at an endpoint later than the grace after it began to drain or was removed",
     Rule.WAIT: "no call begins at a destination while a wait that it has announced is in force",
     Rule.DESTINATION: "a message goes to endpoints of its destination only",
     Rule.CONTENT: "id, idempotency key and body are forwarded unchanged",
-    Rule.FORM: "what the courier sends can be parsed",
+    Rule.FORM: "all requests and replies of a courier can be parsed",
 }
-"""What each rule demands, for people."""
+"""Description of each rule for reports."""
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A rule that was broken.
+    """A violation of a rule.
 
     Attributes:
         rule: the rule.
-        message_id: the message that it is about; empty if there is none.
-        at_ms: when, by the loop's clock.
-        evidence: what was observed.
+        message_id: id of the message that it concerns; empty if there is none.
+        at_ms: time of the loop's clock in ms.
+        evidence: description of the observation.
     """
 
     rule: Rule
@@ -60,11 +60,11 @@
 
 
 class ViolationLog:
-    """Counts violations, and keeps the first of them.
+    """Counts violations, and records the first of them.
 
     Attributes:
-        violations: the first ones.
-        counts: how many there were, by rule.
+        violations: the first `MAX_RECORDED_VIOLATIONS` violations.
+        counts: number of violations by rule.
     """
 
     def __init__(self) -> None:
@@ -72,7 +72,7 @@
         self.counts: dict[Rule, int] = dict.fromkeys(RULES, 0)
 
     def record(self, rule: Rule, message_id: str, now_ns: int, evidence: str) -> None:
-        """Record a violation."""
+        """Count a violation, and record it if there is room."""
         self.counts[rule] += 1
-        if len(self.violations) < MAX_KEPT_VIOLATIONS:
+        if len(self.violations) < MAX_RECORDED_VIOLATIONS:
             self.violations.append(Violation(rule, message_id, now_ns / NS_PER_MS, evidence))
--- a/winchspan/simulation/audit/submissions.py
+++ b/winchspan/simulation/audit/submissions.py
@@ -14,11 +14,11 @@
 
 _SUBMIT_WORD_COUNT: Final = 5
 _BUSY_REPLY: Final = re.compile(r"-BUSY( (\d{1,9}))?( .*)?")
-_ROUNDING_MS: Final = 1.0  # of a retry-after, which is sent in whole ms
+_ROUNDING_MS: Final = 1.0  # rounding tolerance of a retry-after, which is sent in integer ms
 
 
 class SubmissionChecker:
-    """Registers what clients submit, and judges the replies."""
+    """Registers the messages that clients submit, and checks the replies."""
 
     def __init__(self, settings: Settings, registry: MessageRegistry, violations: ViolationLog) -> None:
         self._settings = settings
@@ -29,7 +29,7 @@
         """Handle a complete request.
 
         Returns:
-            The message that it submits; None if it is no valid submission of a new message.
+            The submitted message; None if the request is not a valid submission of a new message.
         """
         if len(words) != _SUBMIT_WORD_COUNT or words[0].upper() != b"SUBMIT":
             return None
@@ -51,7 +51,7 @@
             destination=destination,
             idempotency_key=tags.get("k", ""),
             body_checksum=crc32(words[4]),
-            courier=courier.host,
+            courier_host=courier.host,
             deadline_ns=now_ns + int(time_left_ms * NS_PER_MS),
         )
         self._registry.add(message)
@@ -79,7 +79,7 @@
         self._violations.record(Rule.ANSWER, "", now_ns, f"a reply without a request: {reply:.60}")
 
     def on_connection_lost(self, message: MessageRecord, now_ns: int, *, is_courier_fault: bool) -> None:
-        """Handle that a client's connection ends before the reply: nothing is owed for that id any more."""
+        """Handle the end of a client's connection before the reply: the courier owes nothing for this id."""
         if is_courier_fault:
             self._violations.record(
                 Rule.ANSWER, message.id, now_ns, "the courier closed the connection without a reply"
--- a/winchspan/simulation/audit/wire_parsers.py
+++ b/winchspan/simulation/audit/wire_parsers.py
@@ -1,6 +1,6 @@
-"""Parses RESP2 and HTTP/1.1 for the auditor, apart from the courier's own parsers.
+"""Parsers of RESP2 and HTTP/1.1 for the auditor, independent of the courier's own parsers.
 
-A parser is fed with bytes as they arrive and yields what is complete; what it cannot parse raises
+A parser is fed with bytes as they arrive, and yields complete messages. Bytes that it cannot parse raise
 WireFormatError.
 """
 
@@ -11,15 +11,15 @@
 from enum import Enum, auto
 from typing import Final, NamedTuple
 
-MAX_UNIT_BYTES: Final = 1 << 22
-"""The most that one request, reply or message may hold."""
+MAX_MESSAGE_BYTES: Final = 1 << 22
+"""Maximum size of a RESP2 request or an HTTP message."""
 
 _CRLF: Final = b"\r\n"
-_QUOTED_BYTES: Final = 40  # of what cannot be parsed, in an error
+_QUOTED_BYTES: Final = 40  # maximum of unparsable bytes that an error quotes
 
 
 class WireFormatError(ValueError):
-    """The bytes do not follow the protocol; the message says what was found."""
+    """The bytes do not follow the protocol; the message quotes them."""
 
 
 class _Line(NamedTuple):
@@ -28,7 +28,7 @@
 
 
 def _read_line(buffer: bytearray, position: int) -> _Line | None:
-    """Read the line that begins at a position; None if it is not complete."""
+    """Read the line that begins at a position; None if it is incomplete."""
     end = buffer.find(_CRLF, position)
     return None if end < 0 else _Line(bytes(buffer[position:end]), end + len(_CRLF))
 
@@ -41,17 +41,17 @@
 
 
 class RespRequestParser:
-    """RESP2 requests: arrays of bulk strings."""
+    """Parses RESP2 requests: arrays of bulk strings."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[list[bytes]]:
-        """Yield the requests that are complete now, as lists of words."""
+        """Yield the requests that these bytes complete, as lists of words."""
         self._buffer += data
         while (words := self._parse_request()) is not None:
             yield words
-        if len(self._buffer) > MAX_UNIT_BYTES:
+        if len(self._buffer) > MAX_MESSAGE_BYTES:
             raise WireFormatError("a request without an end")
 
     @property
@@ -79,13 +79,13 @@
 
 
 class RespReplyParser:
-    """RESP2 replies, each as its first line."""
+    """Parses RESP2 replies, and returns the first line of each."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[str]:
-        """Yield the first lines of the replies that are complete now."""
+        """Yield the first lines of the replies that these bytes complete."""
         self._buffer += data
         while (line := _read_line(self._buffer, 0)) is not None:
             end = line.next_position
@@ -101,12 +101,12 @@
 
 @dataclass(slots=True)
 class HttpMessage:
-    """A request or an answer.
+    """An HTTP request or response.
 
     Attributes:
-        start_line: its first line, in words.
-        headers: by their names in lower case.
-        body: what has arrived of the body.
+        start_line: its first line, split into words.
+        headers: header values by name in lower case.
+        body: the body, as far as it has arrived.
     """
 
     start_line: list[str]
@@ -115,42 +115,42 @@
 
     @property
     def status(self) -> int:
-        """The status of an answer; 0 for a request."""
+        """The status of a response; 0 for a request."""
         return _status_of(self.start_line)
 
 
 def _status_of(start_line: list[str]) -> int:
-    is_answer = len(start_line) > 1 and start_line[1].isdigit()
-    return int(start_line[1]) if is_answer else 0
+    is_response = len(start_line) > 1 and start_line[1].isdigit()
+    return int(start_line[1]) if is_response else 0
 
 
 class _BodyPart(Enum):
-    """What comes next of a body (RFC 9112, section 7.1)."""
+    """The next part of a body to parse (RFC 9112, section 7.1)."""
 
     CONTENT = auto()  # bytes up to a content length
     CHUNK_SIZE = auto()
     CHUNK_DATA = auto()
-    CHUNKS_END = auto()  # the empty line behind the last chunk
+    CHUNKS_END = auto()  # the empty line after the last chunk
 
 
 class HttpParser:
-    """HTTP/1.1 messages of one direction, with bodies by length or in chunks.
+    """Parses HTTP/1.1 messages of one direction, whose bodies have a content length or are chunked.
 
     Attributes:
-        partial: the message of which the head is complete and the body is not, so that a long answer can be
-            read as it arrives; None if there is none.
+        partial: a message whose head is complete and whose body is not, so that a long response can be read
+            as it arrives; None if there is none.
     """
 
     def __init__(self) -> None:
         self.partial: HttpMessage | None = None
         self._buffer = bytearray()
         self._body_part = _BodyPart.CONTENT
-        self._remaining_bytes = 0  # of the content, or of the chunk
+        self._remaining_bytes = 0  # of the content or the present chunk
 
     def feed(self, data: bytes) -> Iterator[HttpMessage]:
-        """Yield the messages that are complete now, without interim answers (1xx)."""
+        """Yield the messages that these bytes complete, without interim responses (1xx)."""
         self._buffer += data
-        if len(self._buffer) > MAX_UNIT_BYTES:
+        if len(self._buffer) > MAX_MESSAGE_BYTES:
             raise WireFormatError("a message without an end")
         while True:
             if self.partial is None:
@@ -164,12 +164,12 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing of a message has arrived."""
+        """Whether no part of a message has arrived."""
         return self.partial is None and not self._buffer
 
     @property
     def status(self) -> int:
-        """The status of the incomplete answer as soon as its first line is complete; 0 before."""
+        """The status of the incomplete response as soon as its status line is complete; 0 before."""
         if self.partial is not None:
             return self.partial.status
         line = _read_line(self._buffer, 0)
@@ -195,7 +195,7 @@
         return HttpMessage(start_line.split(), headers)
 
     def _parse_body(self, message: HttpMessage) -> bool:
-        """Parse what has arrived of the body; return whether it is complete."""
+        """Parse the bytes of the body that have arrived; return whether the body is complete."""
         if self._body_part is _BodyPart.CONTENT:
             self._move_to_body(message, min(self._remaining_bytes, len(self._buffer)))
             return not self._remaining_bytes
@@ -208,7 +208,7 @@
         return True
 
     def _parse_chunk(self, message: HttpMessage) -> bool:
-        """Parse the next part of a chunk; return False if it is not complete."""
+        """Parse the next part of a chunk; return False if it is incomplete."""
         if self._body_part is _BodyPart.CHUNK_SIZE:
             line = _read_line(self._buffer, 0)
             if line is None:
--- a/winchspan/simulation/changed_settings.py
+++ b/winchspan/simulation/changed_settings.py
@@ -1,4 +1,4 @@
-"""Other settings for an emulated courier, which it reads at SIGHUP: stricter classes, and fewer attempts."""
+"""Changed settings for an emulated courier, which loads them at SIGHUP: stricter classes, fewer attempts."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 def write_changed_settings(path: Path, original: bytes) -> None:
-    """Write a configuration in which idempotent classes are at-most-once, with three attempts.
+    """Write a configuration in which idempotent classes are at-most-once, with an attempt limit of three.
 
     Args:
-        path: the configuration's file.
-        original: the configuration as it was.
+        path: the configuration file.
+        original: contents of the file before any change.
     """
     config = json.loads(original)
     config["settings"]["limits"]["try_limit"] = CHANGED_ATTEMPT_LIMIT
@@ -29,7 +29,7 @@
 
 
 def changed_classes(classes: Mapping[str, MessageClass]) -> dict[str, MessageClass]:
-    """Return the classes that `write_changed_settings` puts in force."""
+    """Return the classes of the configuration that `write_changed_settings` writes."""
     return {
         name: replace(message_class, effect=Effect.ONCE)
         if message_class.effect is Effect.REPEATABLE
--- a/winchspan/simulation/cluster.py
+++ b/winchspan/simulation/cluster.py
@@ -1,7 +1,7 @@
-"""Fleets of unchanged couriers in virtual time, which check endpoints while faults strike.
+"""Fleets of unchanged couriers in virtual time, which check endpoints while faults are injected.
 
-Each member runs on a machine of its own, with its own clock, disk and directory. The datagrams and
-connections that hold the fleet together cross the emulated network and its faults.
+Each member runs on its own machine, with its own clock, disk and directory. All datagrams and connections
+between members use the emulated network, and are subject to its faults.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any, Final
 
-from winchspan.fakes.platform import platform, wire
+from winchspan.fakes.platform import platform, settings_to_wire
 from winchspan.fakes.recording_endpoints import RecordingEndpoints
 from winchspan.simulation.environment import OUTSIDE_HOST
 from winchspan.simulation.fleet_member import CONFIG_FILE, STATE_DIRECTORY, FleetMember
@@ -28,57 +28,57 @@
 ENDPOINTS_HOST: Final = "endpoints"
 FIRST_PORT: Final = 30_000
 ENDPOINT_RATE: Final = 200.0
-"""Calls a second that each endpoint accepts from all couriers."""
+"""Calls per second that each endpoint accepts from all couriers together."""
 
 START_STAGGER_SECONDS: Final = 0.001
-"""Between the starts of two members."""
+"""Delay between the starts of two members."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetOptions:
-    """How a fleet differs from the default.
+    """Options of an emulated fleet.
 
     Attributes:
-        endpoint_count: endpoints that are checked, each a partner's.
-        check_interval_seconds: between two health checks of one endpoint; 0 for none.
-        clock_drifts: seconds that the members' clocks gain in a true second, in the members' order.
-        link: the profile of all links.
-        operator_options: stands in each member's section `fleet`.
-        changes: of the platform's settings.
+        endpoint_count: number of endpoints with health checks; each belongs to a partner of its own.
+        check_interval_seconds: interval between two health checks of an endpoint; 0 for no checks.
+        clock_drifts: seconds that the members' clocks gain per true second, in the members' order.
+        link: the profile of all links; None for the default profile.
+        fleet_section_options: options to add to section `fleet` of each member's operator's file.
+        settings_changes: platform settings that replace the defaults.
     """
 
     endpoint_count: int = 24
     check_interval_seconds: float = 1.0
     clock_drifts: tuple[float, ...] = ()
     link: LinkProfile | None = None
-    operator_options: str = ""
-    changes: Mapping[str, Any] = field(default_factory=dict)
+    fleet_section_options: str = ""
+    settings_changes: Mapping[str, Any] = field(default_factory=dict)
 
 
 class EmulatedFleet:
-    """Members `n0` and on, and endpoints that they check.
+    """A fleet with members `n0`, `n1`, ..., and the endpoints that they check.
 
     Attributes:
-        loop: the virtual time.
-        network: what connects the members.
+        loop: the event loop in virtual time.
+        network: the network between members and endpoints.
         endpoints: the endpoints.
         names: the members' names.
         members: the members by name.
     """
 
     def __init__(self, folder: Path, size: int, seed: int, options: FleetOptions | None = None) -> None:
-        """Create a fleet, of which no member runs yet.
+        """Create a fleet without starting its members.
 
         Args:
-            folder: for the members' directories.
-            size: how many members there are.
-            seed: of the network.
-            options: what is not by default.
+            folder: parent of the members' directories.
+            size: number of members.
+            seed: seed of the network's random streams.
+            options: options of the fleet; None for the defaults.
         """
         self._options = options or FleetOptions()
         self.loop = EmulatedLoop()
         self.network = Network(self.loop, seed, self._options.link)
-        self.loop.outside = Incarnation(self.network, MachineClock(self.loop), OUTSIDE_HOST)
+        self.loop.connection_provider = Incarnation(self.network, MachineClock(self.loop), OUTSIDE_HOST)
         self.endpoints = RecordingEndpoints(self._options.endpoint_count, ENDPOINT_RATE, self.loop.time)
         self.names = [f"n{number}" for number in range(size)]
         self.members: dict[str, FleetMember] = {}
@@ -107,22 +107,22 @@
             "seed": f"{number + 1:x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3},
             "known": self.endpoints.endpoint_list(),
-            "settings": wire(platform(len(self.names), **self._options.changes)),
+            "settings": settings_to_wire(platform(len(self.names), **self._options.settings_changes)),
         }
         (folder / CONFIG_FILE).write_text(json.dumps(config))
 
     @property
     def ports(self) -> dict[str, int]:
-        """The ports to which clients connect, by member."""
+        """The clients' port of each member, by member name."""
         return {name: FIRST_PORT + 2 * number + 1 for number, name in enumerate(self.names)}
 
     def _fleet_section(self, number: int) -> str:
-        """Return a member's section `fleet` of the operator's file."""
+        """Return section `fleet` of a member's operator's file."""
         addresses = [f"{LOCALHOST}:{FIRST_PORT + 2 * other}" for other in range(len(self.names))]
         members = " ".join(f'"{name}={address}"' for name, address in zip(self.names, addresses, strict=True))
         return (
             f'(fleet (on yes) (listen "{addresses[number]}") (members {members}) '
-            f"(probe-every {self._options.check_interval_seconds:g}) {self._options.operator_options})"
+            f"(probe-every {self._options.check_interval_seconds:g}) {self._options.fleet_section_options})"
         )
 
     # ---- time --------------------------------------------------------------------------------------------
@@ -131,28 +131,28 @@
         return self.loop.time()
 
     def run(self, seconds: float) -> None:
-        """Let time pass; raises what has ended a member by itself."""
+        """Advance the virtual time; raises the error of a member that has crashed."""
         self.loop.run_until_complete(asyncio.sleep(seconds))
         for member in self.members.values():
             member.check()
 
-    def until(
+    def wait_until(
         self,
         description: str,
         condition: Callable[[], bool],
         timeout_seconds: float = 120.0,
-        step: float = 0.05,
+        step_seconds: float = 0.05,
     ) -> float:
-        """Let time pass until a condition holds.
+        """Advance the virtual time until a condition holds.
 
         Args:
-            description: of the condition, for the error.
+            description: description of the condition for the error.
             condition: the condition.
-            timeout_seconds: how long to wait for it.
-            step: seconds between two checks.
+            timeout_seconds: maximum time to wait for the condition.
+            step_seconds: interval between two checks of the condition.
 
         Returns:
-            How many seconds it took.
+            The elapsed virtual time in seconds.
 
         Raises:
             AssertionError: if the condition does not hold in time.
@@ -160,7 +160,7 @@
         begin = self.now()
         while not condition():
             assert self.now() - begin < timeout_seconds, f"not within {timeout_seconds:g} s: {description}"
-            self.run(step)
+            self.run(step_seconds)
         return self.now() - begin
 
     # ---- faults ------------------------------------------------------------------------------------------
@@ -169,17 +169,17 @@
         for number, name in enumerate(self.names):
             self.loop.call_later(START_STAGGER_SECONDS * number, self.members[name].start)
         if self._options.check_interval_seconds:
-            self.until("each endpoint has been checked", self._is_each_endpoint_checked)
+            self.wait_until("each endpoint has been checked", self._is_each_endpoint_checked)
 
     def _is_each_endpoint_checked(self) -> bool:
         return len({check.endpoint for check in self.endpoints.health_checks}) == len(self.endpoints.ports)
 
     def cut(self, source: str, target: str) -> None:
-        """Let nothing pass in one direction."""
-        self.network.links.cut(LinkId(source, target))
+        """Partition the link between two members in one direction."""
+        self.network.links.partition(LinkId(source, target))
 
     def split(self, names: set[str]) -> None:
-        """Partition some members from the others, in both directions."""
+        """Partition some members from all others, in both directions."""
         for source in self.names:
             for target in self.names:
                 if (source in names) != (target in names):
@@ -189,8 +189,8 @@
         """Heal all partitions."""
         self.network.links.heal_all()
 
-    def act(self, what: str, name: str) -> None:
-        """Inject a fault into a member, or end it (`winchspan.fakes.faults.ACTS`)."""
+    def execute_action(self, action: str, name: str) -> None:
+        """Apply a fault or its repair to a member (`winchspan.fakes.faults.ACTS`)."""
         member = self.members[name]
         actions: dict[str, Callable[[], None]] = {
             "kill": member.kill,
@@ -201,15 +201,15 @@
             "fill": member.fill_disk,
             "room": member.free_disk,
         }
-        actions[what]()
+        actions[action]()
 
-    # ---- what is observed --------------------------------------------------------------------------------
+    # ---- observation -------------------------------------------------------------------------------------
     def role_holders(self, role: str) -> list[str]:
-        """Return all who hold a leased role, suspended ones included: more than one is a violation."""
+        """Return all members that hold a leased role, even if suspended: more than one is a violation."""
         return [name for name, member in self.members.items() if role in member.held_roles()]
 
     def roles_held_twice(self) -> list[str]:
-        """Return leased roles that two members hold at this moment."""
+        """Return the leased roles that two members hold at this moment."""
         seen: set[str] = set()
         held_twice: list[str] = []
         for member in self.members.values():
@@ -219,31 +219,31 @@
                 seen.add(role)
         return held_twice
 
-    def owners(self, duty: str) -> list[str]:
-        """Return who holds a leased role, and is not suspended."""
-        return [name for name in self.role_holders(duty) if not self.members[name].is_suspended]
+    def lease_holders(self, role: str) -> list[str]:
+        """Return the members that hold a leased role and are not suspended."""
+        return [name for name in self.role_holders(role) if not self.members[name].is_suspended]
 
-    def idle(self, name: str) -> bool:
-        """Return whether a member runs, and holds no leased role."""
+    def is_idle(self, name: str) -> bool:
+        """Return whether a member is responsive and holds no leased role."""
         member = self.members[name]
         return member.is_responsive and not member.held_roles()
 
     def leader(self) -> str:
-        """Return who leads the consensus; empty for nobody."""
+        """Return the name of the consensus leader; empty if there is no leader."""
         for name, member in self.members.items():
-            if not member.is_suspended and member.figures().get("fleet.agreement.leads"):
+            if not member.is_suspended and member.metrics().get("fleet.agreement.leads"):
                 return name
         return ""
 
-    def whole(self) -> bool:
-        """Return whether all members run, and each takes all for alive."""
+    def are_all_alive(self) -> bool:
+        """Return whether all members are responsive, and each considers all members alive."""
         return all(
-            member.is_responsive and member.figures().get("fleet.members.alive") == len(self.names)
+            member.is_responsive and member.metrics().get("fleet.members.alive") == len(self.names)
             for member in self.members.values()
         )
 
     def close(self) -> None:
-        """End all members and the endpoints."""
+        """Stop all members and the endpoints, and close the loop."""
         tasks: list[asyncio.Task[Any]] = []
         for member in self.members.values():
             member.kill()
--- a/winchspan/simulation/connection.py
+++ b/winchspan/simulation/connection.py
@@ -18,33 +18,33 @@
 from winchspan.simulation.trace import ArrivalKind, NetworkTrace, Side
 
 WINDOW_BYTES: Final = 65_536
-"""Bytes in transit, or received and not read, that one direction allows."""
+"""Maximum of bytes that are in transit, or received and not yet read, in one direction."""
 
 HIGH_WATER_BYTES: Final = 65_536
-"""Bytes not yet accepted by the system beyond which a protocol is told to pause."""
+"""Unsent bytes in the write buffer above which `pause_writing` of the protocol is called."""
 
 
 StreamProtocol: TypeAlias = asyncio.Protocol | asyncio.BufferedProtocol
 
 
 class TrafficObserver(Protocol):
-    """Observes what crosses the network, at both ends of each connection."""
+    """Observes all traffic of connections, at both ends of each connection."""
 
     def connection_opened(self, end: ConnectionEnd, port: int) -> None:
-        """Handle a new end of a connection that leads to a port."""
+        """Handle a new end of a connection to a port."""
 
     def bytes_sent(self, end: ConnectionEnd, data: bytes) -> None:
-        """Handle bytes that the system at an end has accepted."""
+        """Handle bytes that the sender's system has accepted."""
 
     def bytes_received(self, end: ConnectionEnd, data: bytes) -> None:
         """Handle bytes that have arrived at an end."""
 
     def connection_closed(self, end: ConnectionEnd, is_local_close: bool) -> None:
-        """Handle the end of a connection, which its own side has closed or not."""
+        """Handle that an end was closed, by its own side (`is_local_close`) or by the peer or a reset."""
 
 
 class ConnectionNetwork(Protocol):
-    """The network as the ends of its connections use it."""
+    """The interface of the network that the ends of its connections use."""
 
     loop: EmulatedLoop
     links: NetworkLinks
@@ -53,10 +53,10 @@
     observer: TrafficObserver | None
 
     def register_descriptor(self, end: ConnectionEnd) -> int:
-        """Return a descriptor by which an end can be handed over."""
+        """Return a descriptor that identifies an end in a hand-over."""
 
     def remove_connection(self, end: ConnectionEnd) -> None:
-        """Forget an end that is closed."""
+        """Unregister a closed end."""
 
 
 def reset_error(reason: str = "connection reset by peer") -> ConnectionResetError:
@@ -65,15 +65,15 @@
 
 
 class ConnectionEnd(asyncio.Transport):
-    """An accepted socket first, and a transport once a protocol is attached.
+    """A connected socket at first, and an asyncio transport as soon as a protocol is attached.
 
     Attributes:
-        side: which end of the connection it is.
-        host: the machine on which it is.
+        side: side of the connection.
+        host: name of the machine that has this end.
         peer: the other end.
-        process: who owns it; None while it is handed over.
-        is_closed: whether it is closed; what still arrives is answered with a reset.
-        last_arrival_ns: when what was sent last arrives at the other end.
+        process: the process that owns this end; None during a hand-over.
+        is_closed: whether this end is closed; it answers later arrivals with a reset.
+        last_arrival_ns: arrival time of the latest sent data at the other end.
     """
 
     def __init__(self, network: ConnectionNetwork, connection_number: int, side: Side, host: str) -> None:
@@ -89,52 +89,52 @@
         self._protocol: StreamProtocol | None = None
         self._is_reading_paused = False
         self._is_closing = False
-        self._is_writing_paused = False  # the protocol has been told to pause
-        self._receive_buffer = bytearray()  # arrived, and not read by the protocol
-        self._is_end_of_stream = False  # the other side has closed
+        self._is_writing_paused = False  # `pause_writing` was called, and `resume_writing` was not
+        self._receive_buffer = bytearray()  # received bytes that the protocol has not read
+        self._is_end_of_stream = False  # the peer has closed its end
         self._is_read_scheduled = False
-        self._send_buffer = bytearray()  # written, and not accepted by the system
-        self._unacknowledged_bytes = 0  # accepted by the system, and not read by the other side
+        self._send_buffer = bytearray()  # written bytes that the system has not accepted
+        self._unacknowledged_bytes = 0  # accepted by the system, and not yet read by the peer
         self._high_water_bytes = HIGH_WATER_BYTES
 
     # ---- ownership ---------------------------------------------------------------------------------------
     @property
     def descriptor(self) -> int:
-        """A number of its own, by which a trace and a hand-over name it."""
+        """A unique number that identifies this end in the trace and in a hand-over."""
         return self._connection_number << 1 | self.side
 
     @property
     def link(self) -> LinkId:
-        """The link on which it sends."""
+        """The link that carries sent data."""
         return LinkId(self.host, self.peer.host)
 
     def attach(self, process: NetworkProcess, protocol: StreamProtocol) -> None:
-        """Assign it to a protocol; what has arrived already is read in the next tick."""
+        """Attach a protocol; data that has already arrived is delivered in the next tick."""
         self.process = process
         self._protocol = protocol
         protocol.connection_made(self)
-        if self.is_closed:  # it was reset while nobody owned it
+        if self.is_closed:  # it was reset during the hand-over
             self._network.loop.call_soon(self._notify_lost, reset_error("reset while it was handed over"))
         self._schedule_read()
 
     def detach(self) -> None:
-        """Notify nobody of what happens until it is attached again."""
+        """Detach the protocol: events are not delivered until another protocol is attached."""
         self.process = None
         self._protocol = None
         self._is_reading_paused = False
 
     def setblocking(self, flag: bool) -> None:
-        """Do nothing: unlike a socket it never blocks."""
+        """Do nothing: operations of an emulated connection never block."""
 
     def get_extra_info(self, name: str, default: object = None) -> object:
-        """Return what a connection's user asks for.
+        """Return information on the connection.
 
         Args:
-            name: `descriptor` for a number by which it can be handed over; `unread` for a function that says
-                whether something has arrived, an end of the stream included, that the protocol has not read;
-                `peer_closed` for one that says whether the other end is closed, even if nothing told so;
-                `peername` or `sockname` for an address.
-            default: returned for any other name.
+            name: `descriptor` for the number that identifies this end in a hand-over; `unread` for a function
+                that returns whether the protocol has not read everything that has arrived, an end of stream
+                included; `peer_closed` for a function that returns whether the peer is closed, even if this
+                end has not yet been notified; `peername` or `sockname` for an address.
+            default: return value for any other name.
         """
         if name == "descriptor":
             return self._network.register_descriptor(self)
@@ -154,20 +154,20 @@
         return self._protocol
 
     @property
-    def _is_owner_listening(self) -> bool:
+    def _can_notify_protocol(self) -> bool:
         return self._protocol is not None and self.process is not None and self.process.is_alive
 
     # ---- writing -----------------------------------------------------------------------------------------
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Set beyond how many bytes a protocol is told to pause."""
+        """Set the buffer size in bytes above which `pause_writing` of the protocol is called."""
         self._high_water_bytes = HIGH_WATER_BYTES if high is None else high
 
     def get_write_buffer_size(self) -> int:
-        """Return how many bytes the system has not accepted yet."""
+        """Return the number of written bytes that the system has not accepted yet."""
         return len(self._send_buffer)
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Write; what the system does not accept at once is written later."""
+        """Write data; bytes that the system does not accept at once are buffered and written later."""
         if self._is_closing or self.is_closed or not data:
             return
         self._send_buffer += data
@@ -178,15 +178,15 @@
             self._protocol.pause_writing()
 
     def writelines(self, list_of_data: Iterable[bytes | bytearray | memoryview]) -> None:
-        """Write several pieces as one."""
+        """Write the concatenation of several byte strings."""
         self.write(b"".join(list_of_data))
 
     def can_write_eof(self) -> bool:
-        """Return False: a single direction cannot be closed."""
+        """Return False: closing a single direction is not emulated."""
         return False
 
     def _flush(self) -> None:
-        """Let the system accept what fits into the window."""
+        """Pass as many buffered bytes to the system as fit into the window."""
         available_bytes = min(len(self._send_buffer), WINDOW_BYTES - self._unacknowledged_bytes)
         if available_bytes > 0:
             self._send_piece(available_bytes)
@@ -209,7 +209,7 @@
     def _on_send_buffer_empty(self) -> None:
         if self._is_writing_paused:
             self._is_writing_paused = False
-            if self._is_owner_listening:
+            if self._can_notify_protocol:
                 assert self._protocol is not None
                 self._protocol.resume_writing()
         if self._is_closing and not self.is_closed:
@@ -223,11 +223,11 @@
 
     # ---- closing -----------------------------------------------------------------------------------------
     def is_closing(self) -> bool:
-        """Return whether it has been closed on this side."""
+        """Return whether this end is closed or about to close."""
         return self._is_closing or self.is_closed
 
     def close(self) -> None:
-        """Close once the system has accepted everything; unread bytes make that a reset (RFC 9293, 3.6)."""
+        """Close once all written bytes are accepted; a close with unread data is a reset (RFC 9293, 3.6)."""
         if self._is_closing or self.is_closed:
             return
         self._is_closing = True
@@ -235,7 +235,7 @@
             self._finish_closing()
 
     def abort(self) -> None:
-        """Close at once, with a reset."""
+        """Close immediately with a reset."""
         if self.is_closed:
             return
         self._send_buffer.clear()
@@ -243,7 +243,7 @@
         self._send_reset()
 
     def close_for_ended_process(self) -> None:
-        """Close as the system does for a process that has ended, which is not notified any more."""
+        """Close as the system does after the owner's process has ended; its protocol is not notified."""
         self._protocol = None
         if not self.is_closed:
             self._send_buffer.clear()
@@ -274,7 +274,7 @@
     def _notify_lost(self, error: Exception | None) -> None:
         if self.process is not None and self.process.defer_while_suspended(lambda: self._notify_lost(error)):
             return
-        if self._is_owner_listening:
+        if self._can_notify_protocol:
             assert self._protocol is not None
             self._protocol.connection_lost(error)
 
@@ -292,14 +292,14 @@
         self._schedule_read()
 
     def receive_end_of_stream(self) -> None:
-        """Handle that the other side has closed."""
+        """Handle that the peer has closed its end."""
         if not self.is_closed:
             self._record(ArrivalKind.END_OF_STREAM)
             self._is_end_of_stream = True
             self._schedule_read()
 
     def receive_reset(self, error: Exception) -> None:
-        """Handle an arriving reset: what has not been read is lost."""
+        """Handle a reset: unread data is lost."""
         if not self.is_closed:
             self._record(ArrivalKind.RESET)
             self._send_buffer.clear()
@@ -311,16 +311,16 @@
     # ---- reading -----------------------------------------------------------------------------------------
     @property
     def has_unread_data(self) -> bool:
-        """Whether something has arrived that the protocol is about to read."""
+        """Whether received bytes are about to be delivered to the protocol."""
         is_readable = not (self._is_reading_paused or self._is_closing)
         return bool(self._receive_buffer) and self._protocol is not None and is_readable
 
     def pause_reading(self) -> None:
-        """Deliver nothing more to the protocol for now."""
+        """Stop delivering data to the protocol until `resume_reading`."""
         self._is_reading_paused = True
 
     def resume_reading(self) -> None:
-        """Deliver again."""
+        """Resume delivering data to the protocol."""
         self._is_reading_paused = False
         self._schedule_read()
 
@@ -334,11 +334,11 @@
             self._network.loop.call_soon(self._read)
 
     def _read(self) -> None:
-        """Deliver one piece of what has arrived to the protocol."""
+        """Deliver one piece of the received bytes to the protocol."""
         if self.process is not None and self.process.defer_while_suspended(self._read):
             return
         self._is_read_scheduled = False
-        if self._is_reading_paused or self._is_closing or not self._is_owner_listening:
+        if self._is_reading_paused or self._is_closing or not self._can_notify_protocol:
             return
         assert self._protocol is not None
         if self._receive_buffer:
@@ -363,7 +363,7 @@
             protocol.data_received(data)
 
     def on_bytes_read(self, size: int) -> None:
-        """Handle that the other side has read so many bytes: as many more may be sent (RFC 9293, 3.8)."""
+        """Handle that the peer has read `size` bytes, which opens the window for as many (RFC 9293, 3.8)."""
         self._unacknowledged_bytes -= size
         if self._send_buffer and not self.is_closed:
             self._network.loop.call_soon(self._continue_writing)
--- a/winchspan/simulation/datagram_socket.py
+++ b/winchspan/simulation/datagram_socket.py
@@ -8,11 +8,11 @@
 from winchspan.simulation.network_process import NetworkProcess
 
 SOCKET_QUEUE_LIMIT: Final = 200
-"""Datagrams that wait at a suspended process; more of them are lost."""
+"""Datagrams that are queued for a suspended process; further ones are dropped."""
 
 
 class DatagramNetwork(Protocol):
-    """The network as a datagram socket uses it."""
+    """The interface of the network that a datagram socket uses."""
 
     def send_datagram(self, socket: EmulatedDatagramSocket, port: int, data: bytes) -> None:
         """Transmit a datagram to a port."""
@@ -22,12 +22,12 @@
 
 
 class EmulatedDatagramSocket(asyncio.DatagramTransport):
-    """A socket that is bound to a port.
+    """A datagram socket that is bound to a port.
 
     Attributes:
-        process: whose socket it is.
-        port: where it receives.
-        host: the machine on which it is.
+        process: the process that owns the socket.
+        port: the port at which it receives.
+        host: name of the process's machine.
     """
 
     def __init__(self, network: DatagramNetwork, process: NetworkProcess, port: int) -> None:
@@ -41,7 +41,7 @@
         self._queued_count = 0
 
     def attach(self, protocol: asyncio.DatagramProtocol) -> None:
-        """Deliver what arrives to a protocol."""
+        """Attach the protocol that receives the datagrams."""
         self._protocol = protocol
         protocol.connection_made(self)
 
@@ -54,7 +54,7 @@
             self._network.send_datagram(self, int(addr[1]), bytes(data))
 
     def receive(self, data: bytes, sender: tuple[str, int]) -> None:
-        """Handle an arrival; at a suspended process it is queued, as long as the queue is not full."""
+        """Handle an arriving datagram; a suspended process queues it, or drops it if the queue is full."""
         if self._is_closed or self._protocol is None or not self.process.is_alive:
             return
         if self._queued_count < SOCKET_QUEUE_LIMIT and self.process.defer_while_suspended(
@@ -70,14 +70,14 @@
             self._protocol.datagram_received(data, sender)
 
     def get_write_buffer_size(self) -> int:
-        """Return 0: the network accepts everything at once."""
+        """Return 0: the network accepts every datagram at once."""
         return 0
 
     def is_closing(self) -> bool:
-        """Return whether it has been closed."""
+        """Return whether the socket has been closed."""
         return self._is_closed
 
     def close(self) -> None:
-        """Free the port."""
+        """Close the socket and free its port."""
         self._is_closed = True
         self._network.unbind(self)
--- a/winchspan/simulation/disk.py
+++ b/winchspan/simulation/disk.py
@@ -1,4 +1,4 @@
-"""An emulated disk: a real directory's files, on a device that may be full."""
+"""An emulated disk: real files, on a device that may be full and may write partially."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class EmulatedDisk(Disk):
-    """A disk that may be full, and that may write less than it is given.
+    """A disk that may be full, and whose writes may be partial.
 
     Attributes:
-        is_full: whether writes and new files fail.
+        is_full: whether writes, and opening new files, fail with ENOSPC.
     """
 
     def __init__(self, fragmenter: Fragmenter) -> None:
@@ -22,13 +22,13 @@
         self._fragmenter = fragmenter
 
     def open(self, path: Path, flags: int) -> int:
-        """Open a file; a full disk creates none."""
+        """Open a file; raises OSError for a new file on a full disk."""
         if self.is_full and not path.exists():
             raise _disk_full_error()
         return super().open(path, flags)
 
     def write(self, fd: int, data: memoryview) -> int:
-        """Write a piece: where the network fragments, disks write partially, too."""
+        """Write data; partially where the network fragments, too. Raises OSError if the disk is full."""
         if self.is_full:
             raise _disk_full_error()
         return super().write(fd, data[: self._fragmenter.piece_size(len(data))])
--- a/winchspan/simulation/emulated_application.py
+++ b/winchspan/simulation/emulated_application.py
@@ -1,4 +1,4 @@
-"""Runs the unchanged application of a courier in an incarnation of an emulated machine."""
+"""Runs a courier's unchanged application in a process of an emulated machine."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RunningApplication(NamedTuple):
-    """A courier, and the task that runs it."""
+    """A courier's application, and the task that runs it."""
 
     application: Application
     run_task: asyncio.Task[None]
@@ -23,17 +23,17 @@
 def run_application(
     incarnation: Incarnation, operator: OperatorOptions, context: ProcessContext
 ) -> RunningApplication:
-    """Start a courier, which crashes when its incarnation ends.
+    """Start a courier's application, which crashes when its incarnation ends.
 
     Args:
-        incarnation: the process, which is the courier's event loop.
-        operator: the operator's file.
-        context: its system, whose environment names the platform's configuration, and what it inherits.
+        incarnation: the process, which is also the courier's event loop.
+        operator: options of the operator's file.
+        context: system, whose environment has the path of the platform's configuration, and inherited state.
 
     Returns:
-        The courier, which runs.
+        The running application.
     """
-    loop = cast("asyncio.AbstractEventLoop", incarnation)  # as much of one as a courier uses
+    loop = cast("asyncio.AbstractEventLoop", incarnation)  # it has the methods that a courier uses
     config = load_platform_config(context.system.environ)
     application = Application(config, loop, operator, create_components, context)
     add_signal_handlers(loop, application)
--- a/winchspan/simulation/emulated_courier.py
+++ b/winchspan/simulation/emulated_courier.py
@@ -1,4 +1,4 @@
-"""One courier of an emulation: the unchanged application on an emulated machine."""
+"""A courier of an emulation: the unchanged application on an emulated machine."""
 
 from __future__ import annotations
 
@@ -28,22 +28,22 @@
 from winchspan.upgrade.take_over import InheritedState
 
 START_UP_SECONDS: Final = 0.15
-"""From a process's start to the first line of our code."""
+"""Time from the start of a process until its application starts."""
 
 _UPGRADE_POLL_SECONDS: Final = 0.05
 
 
 class EmulationError(Exception):
-    """A scenario cannot be emulated; the message says why."""
+    """A scenario cannot be emulated; the message gives the reason."""
 
 
 class EmulatedCourier(CourierProcess):
-    """A courier as a process on a machine of its own.
+    """A courier that runs as a process on its own emulated machine.
 
     Attributes:
         machine: the machine.
-        abandoned_tasks: tasks of incarnations that have ended, to be cancelled when the emulation is over.
-        upgrade_count: how many upgrades succeeded.
+        abandoned_tasks: tasks of ended incarnations, to be cancelled at the end of the emulation.
+        upgrade_count: number of successful upgrades.
     """
 
     def __init__(
@@ -61,19 +61,19 @@
         self._upgrade: EmulatedUpgrade | None = None
         self._original_config: bytes | None = None
 
-    # ---- a process, as rehearsals use it -----------------------------------------------------------------
+    # ---- process interface of rehearsals -----------------------------------------------------------------
     def configure(self, scenario: Scenario, discovery: int, known: dict[str, object]) -> None:
-        """Write its configuration; raises EmulationError for what is not emulated."""
+        """Write its configuration; raises EmulationError for an option that cannot be emulated."""
         super().configure(scenario, discovery, known)
         if self._operator_template is not None and load_operator_file(self._operator)["control"]["on"]:
-            raise EmulationError(f"{self._operator_template}: control.on: has a socket of the real system")
+            raise EmulationError(f"{self._operator_template}: control.on: the control socket is not emulated")
 
     def free_port(self) -> int:
-        """Return a port of the emulated network."""
-        return self.machine.network.free_port()
+        """Return a free port of the emulated network."""
+        return self.machine.network.find_free_port()
 
     def start(self) -> None:
-        """Start it after the time that a process takes to start up."""
+        """Start it after `START_UP_SECONDS`."""
         if self._start_timer is not None:
             self._start_timer.cancel()
         self._start_timer = self._loop.call_later(START_UP_SECONDS, self._on_started)
@@ -81,14 +81,14 @@
     def _on_started(self) -> None:
         self._start_timer = None
         if self.machine.is_running or self.machine.is_powered_off:
-            return  # two faults overlap; the last one to end starts it
+            return  # faults overlap: the last of them to end starts the courier
         self._start_incarnation()
         self._auditor.on_courier_started(self.machine.host)
 
     def _start_incarnation(
         self, inherited: InheritedState | None = None, listener: EmulatedListener | None = None
     ) -> None:
-        """Start an incarnation, by itself or as the successor of one that has handed over."""
+        """Start an incarnation, either afresh or as the successor of an incarnation that has handed over."""
         operator: OperatorOptions = (
             load_operator_file(self._operator) if self._operator_template is not None else {}
         )
@@ -100,25 +100,25 @@
         self._application, self._run_task = run_application(incarnation, operator, context)
 
     def crashed(self) -> bool:
-        """Return whether it has ended by itself; raises what ended it."""
+        """Return whether the application has ended by itself; raises its error if it failed."""
         if self._run_task is None or not self._run_task.done():
             return False
         self._run_task.result()
         return True
 
     def port_taken(self) -> bool:
-        """Return False: nobody else uses ports of the emulated network."""
+        """Return False: no other process uses ports of the emulated network."""
         return False
 
     def kill(self) -> None:
-        """End it without warning."""
+        """Kill it without a shutdown."""
         if self._start_timer is not None:
             self._start_timer.cancel()
         self._abandon_incarnation()
         self.machine.kill_program()
 
     def stop(self) -> None:
-        """End it: the run is over."""
+        """Kill it at the end of the run."""
         self.kill()
 
     def cpu_seconds(self) -> float:
@@ -137,27 +137,27 @@
 
     # ---- faults ------------------------------------------------------------------------------------------
     def signal(self, number: int) -> None:
-        """Send it a signal."""
+        """Send a signal to it."""
         if self.machine.incarnation is not None:
             self.machine.incarnation.deliver_signal(number)
 
     def suspend_for(self, duration_ms: float) -> None:
-        """Suspend it for a while."""
+        """Suspend it for a duration."""
         incarnation = self.machine.incarnation
         if incarnation is not None:
             incarnation.suspend_for(duration_ms)
             self._auditor.on_courier_suspended(self.machine.host, duration_ms)
 
     def restart(self, down_ms: float) -> None:
-        """Shut it down gracefully, and start it again some time after it has ended."""
+        """Shut it down gracefully, and start it again `down_ms` after it has ended."""
         run_task = self._run_task
         incarnation = self.machine.incarnation
-        if self._is_upgrading:  # the hand-over ends first
+        if self._is_upgrading:  # wait for the end of the hand-over
             self._loop.call_later(_UPGRADE_POLL_SECONDS, self.restart, down_ms)
             return
         if run_task is None or incarnation is None:
             return
-        self._run_task = None  # its end is no crash
+        self._run_task = None  # its end does not count as a crash
         self._auditor.on_courier_stopped(self.machine.host)
         run_task.add_done_callback(partial(self._on_shut_down, incarnation, down_ms))
         self.signal(signal.SIGTERM)
@@ -168,7 +168,7 @@
         self._loop.call_later(down_ms / MS_PER_SECOND, self.start)
 
     def lose_power_for(self, duration_ms: float) -> None:
-        """Cut its machine's power for a while; its directory lasts."""
+        """Cut the power of its machine for a duration; its directory is preserved."""
         self._abandon_incarnation()
         self.machine.power_off()
         self._loop.call_later(duration_ms / MS_PER_SECOND, self._on_power_restored)
@@ -177,24 +177,24 @@
         self.machine.power_on()
         self.start()
 
-    # ---- operators ---------------------------------------------------------------------------------------
+    # ---- actions of operators ----------------------------------------------------------------------------
     @property
     def _is_upgrading(self) -> bool:
         return self._upgrade is not None and not self._upgrade.is_over
 
     @property
     def is_serving(self) -> bool:
-        """Whether operators reach a courier that is not about to end."""
+        """Whether it runs, and is neither shutting down nor handing over."""
         return self._run_task is not None and self.machine.is_running and not self._is_upgrading
 
     def request(self, path: str) -> bool:
-        """Send an operators' POST request; return whether it succeeded."""
+        """Send a POST request to its admin server; return whether the request succeeded."""
         if not self.is_serving or self._application is None:
             return False
         return handle_request(self._application.operations(), AdminRequest("POST", path)).is_success
 
-    def find_endpoint(self, partner: int) -> str:
-        """Return the name of a partner's endpoint as the courier knows it; empty if it knows none."""
+    def find_endpoint_name(self, partner: int) -> str:
+        """Return the name of an endpoint of a partner in the courier's directory; empty if there is none."""
         if self._application is None:
             return ""
         endpoints = self._application.hand_over_components().endpoint_directory.endpoints.values()
@@ -206,7 +206,7 @@
         return next(names, "")
 
     def upgrade(self) -> None:
-        """Let a new process take over, if the courier serves."""
+        """Start an upgrade to a new process, if the courier serves."""
         incarnation = self.machine.incarnation
         listener = self.machine.network.find_listener(self.port)
         if not self.is_serving or self._application is None or incarnation is None or listener is None:
@@ -221,7 +221,7 @@
         self._upgrade.start()
 
     def use_changed_settings(self) -> None:
-        """Give it other settings."""
+        """Write changed settings, and have the courier reload them."""
         path = self._config_path()
         if self._original_config is None:
             self._original_config = path.read_bytes()
@@ -229,7 +229,7 @@
         self.signal(signal.SIGHUP)
 
     def restore_settings(self) -> None:
-        """Give it its first settings again."""
+        """Write the original settings, and have the courier reload them."""
         path = self._config_path()
         if self._original_config is None:
             self._original_config = path.read_bytes()
--- a/winchspan/simulation/emulated_upgrade.py
+++ b/winchspan/simulation/emulated_upgrade.py
@@ -1,7 +1,7 @@
-"""Upgrades of an emulated courier: one incarnation hands over to the next on the same machine.
+"""Upgrades of an emulated courier: an incarnation hands over to the next on the same machine.
 
-The hand-over goes through the same steps, state and connections as between real processes; only the socket
-between the two is left out: descriptors name the network's own ends.
+The hand-over has the same steps, state and connections as between real processes. Only the socket between the
+two processes is not emulated: a descriptor is the number of a connection's end in the emulated network.
 """
 
 from __future__ import annotations
@@ -23,29 +23,29 @@
 from winchspan.upgrade.take_over import InheritedState
 
 TRANSFER_SECONDS: Final = 0.02
-"""For the state to be transferred and read."""
+"""Time to transfer and decode the state."""
 
 DESCRIPTOR_LIMIT: Final = 10_000
-"""An emulated process has no limit of its own."""
+"""Limit of open descriptors that is reported to the hand-over; emulated processes enforce no limit."""
 
 
 class _EmulatedHandOverSource(HandOverSource):
-    """The serving side, whose connections are ends of the emulated network."""
+    """The source of a hand-over, with connections of the emulated network."""
 
     incarnation: Incarnation
 
     def release_descriptors(self, descriptors: list[int]) -> None:
-        """Leave connections to the next incarnation: nothing of this one may use them any more."""
+        """Release connections to the next incarnation, so that this incarnation no longer uses them."""
         for descriptor in descriptors:
-            connection = self.incarnation.network.end_of_descriptor(descriptor)
+            connection = self.incarnation.network.find_connection_end(descriptor)
             self.incarnation.release_connection(connection)
 
 
 class EmulatedUpgrade:
-    """One hand-over.
+    """A hand-over between two incarnations of a courier.
 
     Attributes:
-        is_over: whether it has ended, with success or not.
+        is_over: whether it has ended, successfully or not.
     """
 
     def __init__(
@@ -55,13 +55,13 @@
         listener: EmulatedListener,
         start_successor: Callable[[InheritedState], None],
     ) -> None:
-        """Create it.
+        """Prepare a hand-over.
 
         Args:
-            application: the serving courier.
-            incarnation: its process.
+            application: application of the serving courier.
+            incarnation: process of the serving courier.
             listener: the clients' listening socket, which stays open.
-            start_successor: starts the next incarnation with what it inherits, after this one has ended.
+            start_successor: starts the next incarnation with inherited state, once `incarnation` has ended.
         """
         self.is_over = False
         self._incarnation = incarnation
@@ -75,7 +75,7 @@
         self._source.incarnation = incarnation
 
     def start(self) -> None:
-        """Request the hand-over, as a new process does."""
+        """Request the hand-over, as a new process would."""
         self._execute(self._state_machine.on_request(self._now_ms(), True))
         self._loop.call_later(DRAIN_POLL_SECONDS, self._poll)
 
@@ -83,7 +83,7 @@
         return self._loop.ns / NS_PER_MS
 
     def _poll(self) -> None:
-        """Check whether the drain has ended."""
+        """Check whether the drain has completed, and perform the resulting actions."""
         if not self._incarnation.is_alive:
             self.is_over = True
             return
@@ -111,7 +111,7 @@
         self._loop.call_later(TRANSFER_SECONDS, self._on_transferred, transfer)
 
     def _on_transferred(self, transfer: StateTransfer) -> None:
-        if not self._incarnation.is_alive:  # killed during the transfer: the next incarnation has the journal
+        if not self._incarnation.is_alive:  # killed during the transfer: the next start recovers the journal
             self.is_over = True
             return
         state = decode_state(transfer.state)
--- a/winchspan/simulation/emulation.py
+++ b/winchspan/simulation/emulation.py
@@ -1,4 +1,4 @@
-"""Plays a rehearsal's scenario with unchanged couriers in virtual time, on the emulated network."""
+"""Runs the scenario of a rehearsal with unchanged couriers in virtual time, on the emulated network."""
 
 from __future__ import annotations
 
@@ -34,25 +34,25 @@
 from winchspan.simulation.network import Network
 
 OVERDUE_CHECK_SECONDS: Final = 0.1
-"""Between two checks of the auditor for missing ends."""
+"""Interval between two checks of the auditor for overdue messages."""
 
 
 @dataclass(frozen=True, slots=True)
 class EmulationResult:
-    """What came of an emulation.
+    """The result of an emulation.
 
     Attributes:
-        result: what came of the messages.
-        trace: the hash of all that crossed the network.
-        event_count: the arrivals.
-        byte_count: the bytes that arrived.
-        virtual_seconds: how long it took in virtual time.
-        violations: the first rules that were broken.
-        violation_counts: how often each rule was broken.
+        result: the audit of the messages.
+        trace_hash: SHA-256 of all traffic on the network, as hexadecimal digits.
+        event_count: number of events in the trace.
+        byte_count: number of bytes that arrived.
+        virtual_seconds: duration in virtual time.
+        violations: the first violations of rules.
+        violation_counts: number of violations of each rule.
     """
 
     result: Result
-    trace: str
+    trace_hash: str
     event_count: int
     byte_count: int
     virtual_seconds: float
@@ -61,11 +61,11 @@
 
 
 class Emulation(Rehearsal):
-    """One scenario with real couriers in virtual time. The same seed gives the same run, to the byte.
+    """A scenario with unchanged couriers in virtual time; runs with the same seed have the same traffic.
 
     Attributes:
         network: the emulated network.
-        auditor: checks the platform's rules on all that crosses it.
+        auditor: checks the platform's rules on all traffic of the network.
     """
 
     def __init__(
@@ -76,14 +76,14 @@
         operator: Path | None = None,
         environment: Environment | None = None,
     ) -> None:
-        """Create it, not played.
+        """Create an emulation without starting it.
 
         Args:
-            scenario: what is played.
-            seed: of all random numbers.
-            directory: for the couriers' directories.
-            operator: the operator's file of all couriers; None for none.
-            environment: what is emulated around the couriers.
+            scenario: the scenario to run.
+            seed: seed of all random numbers.
+            directory: parent of the couriers' directories.
+            operator: the operator's file of all couriers; None for default options.
+            environment: links, clocks and faults; None for the defaults without faults.
         """
         super().__init__(scenario, seed, directory, operator)
         settings = platform(scenario.couriers, **scenario.changes)
@@ -97,7 +97,7 @@
             self._environment.default_link,
             is_fragmenting=self._environment.is_fragmenting,
         )
-        self._loop.outside = Incarnation(self.network, MachineClock(self._loop), OUTSIDE_HOST)
+        self._loop.connection_provider = Incarnation(self.network, MachineClock(self._loop), OUTSIDE_HOST)
         for source, target, profile in self._environment.link_overrides:
             self.network.links.set_profile(LinkId(source, target), profile)
         self.auditor = Auditor(settings, hosts, lambda: self._loop.ns)
@@ -106,20 +106,20 @@
         self._loop.call_later(OVERDUE_CHECK_SECONDS, self._check_overdue)
 
     def show_messages(self, show: Callable[[str], None]) -> None:
-        """Show a line for each message's end."""
+        """Pass a line on each message's outcome to `show`."""
         self._show = show
 
     def _check_overdue(self) -> None:
         self.auditor.check_overdue()
         self._loop.call_later(OVERDUE_CHECK_SECONDS, self._check_overdue)
 
-    # ---- a rehearsal's parts -----------------------------------------------------------------------------
+    # ---- hooks of `Rehearsal` ----------------------------------------------------------------------------
     def clock(self) -> Clock:
         """Return the true time."""
         return MachineClock(self._loop)
 
     def create_courier(self, folder: Path, me: int) -> CourierProcess:
-        """Create a courier on a machine of its own."""
+        """Create a courier on its own machine."""
         drifts = self._environment.clock_drifts
         wall_offsets_ms = self._environment.wall_offsets_ms
         drift = drifts[me] if me < len(drifts) else 0.0
@@ -130,26 +130,26 @@
         return courier
 
     def on_discovery_listening(self, port: int) -> None:
-        """Assign discovery to a host of its own, which is never partitioned."""
+        """Assign discovery to its own host, which is never partitioned."""
         self.network.assign_port(port, DISCOVERY_HOST)
 
     def on_endpoint_listening(self, partner: int, port: int) -> None:
-        """Assign an endpoint to its partner's host."""
+        """Assign an endpoint to the host of its partner."""
         self.network.assign_port(port, partner_host(partner))
 
     def on_run_started(self, deadlines: TimerQueue, began: float) -> None:
-        """Schedule the faults; raises EmulationError for one that strikes nobody."""
+        """Schedule the faults; raises EmulationError for a fault of a nonexistent courier."""
         self._fault_injector.schedule(deadlines, began, self._environment.faults)
 
-    # ---- playing -----------------------------------------------------------------------------------------
+    # ---- run ---------------------------------------------------------------------------------------------
     def play(self) -> EmulationResult:
-        """Play it to its end, on a loop of its own."""
+        """Run the scenario to its end, and close the loop."""
         begin_ns = self._loop.ns
         try:
             result = self._loop.run_until_complete(self.run())
             return EmulationResult(
                 result=result,
-                trace=self.network.trace.hexdigest(),
+                trace_hash=self.network.trace.hexdigest(),
                 event_count=self.network.trace.event_count,
                 byte_count=self.network.trace.byte_count,
                 virtual_seconds=(self._loop.ns - begin_ns) / NS_PER_SECOND,
@@ -161,7 +161,7 @@
             self._loop.close()
 
     def _cancel_tasks(self) -> None:
-        """Cancel what is left of all incarnations and fakes."""
+        """Cancel the remaining tasks of all incarnations and fakes."""
         tasks: list[asyncio.Task[Any]] = []
         for courier in self._couriers:
             tasks += [task for task in courier.abandoned_tasks if not task.done()]
--- a/winchspan/simulation/environment.py
+++ b/winchspan/simulation/environment.py
@@ -1,6 +1,6 @@
-"""What an emulation adds to a scenario: links between hosts, clocks, and faults that are injected.
+"""The environment of an emulated scenario: links between hosts, clocks, and faults to inject.
 
-The encoded names of all fields are part of the address under which experiments keep their results.
+The encoded names of all fields are part of the address under which experiments store their results.
 """
 
 from __future__ import annotations
@@ -13,40 +13,40 @@
 from winchspan.simulation.link import LinkProfile
 
 OUTSIDE_HOST: Final = "outside"
-"""Where clients are."""
+"""The host of the clients."""
 
 DISCOVERY_HOST: Final = "agent"
-"""Where discovery is: for each courier as near as its own machine."""
+"""The host of discovery, which stands for an agent on each courier's own machine."""
 
 
 def partner_host(number: int) -> str:
-    """Return the host of a partner's endpoints."""
+    """Return the host name of a partner's endpoints."""
     return f"partner {number}"
 
 
 def courier_host(number: int) -> str:
-    """Return the host of a courier."""
+    """Return the host name of a courier."""
     return f"n{number}"
 
 
 class FaultKind(StrEnum):
-    """What is injected. The values are those of the command line and of experiments' files.
+    """Kinds of faults. The values are used on the command line and in the files of experiments.
 
-    Operators' actions are among them, since a courier has to keep the rules through these as well.
+    Actions of operators are included, because a courier has to follow the rules during these as well.
     """
 
     PARTITION = "cut"
-    """Nothing passes from `source` to `target` for the duration."""
+    """The link from `source` to `target` is partitioned for the duration."""
     POWER_LOSS = "vanish"
     """The machine of the courier `source` has no power for the duration."""
     RESET_CONNECTIONS = "reset"
-    """The connections of `source` are reset, or only those with `target`."""
+    """The connections of `source` are reset; if `target` is given, only those with `target`."""
     WALL_TIME_STEP = "step"
-    """The wall time of the courier `source` is set forward by the duration, or back."""
+    """The wall time of the courier `source` is set forward by the duration, or back by a negative one."""
     RELOAD = "hup"
-    """The courier `source` gets SIGHUP."""
+    """The courier `source` receives SIGHUP."""
     RESTART = "term"
-    """The courier `source` gets SIGTERM, and starts again the duration after it has ended."""
+    """The courier `source` receives SIGTERM. It starts again when the duration has passed after its end."""
     DISK_FULL = "full"
     """The disk of the courier `source` is full for the duration."""
     DRAIN = "drain"
@@ -54,26 +54,26 @@
     ENDPOINT_OFFLINE = "offline"
     """Operators take one endpoint of `target` offline at the courier `source` for the duration."""
     RECONFIGURE = "retune"
-    """The courier `source` has other settings for the duration."""
+    """The courier `source` runs with changed settings for the duration."""
     UPGRADE = "upgrade"
     """A new process takes over from the courier `source`."""
     SUSPEND = "hang"
-    """The courier `source` is held up for the duration."""
+    """The process of the courier `source` is suspended for the duration."""
 
 
 NETWORK_FAULTS: Final = frozenset({FaultKind.PARTITION, FaultKind.RESET_CONNECTIONS})
-"""Faults of any hosts; all others strike a courier."""
+"""Faults that apply to any hosts; all other faults apply to a courier."""
 
 
 class InjectedFault(msgspec.Struct, frozen=True):
-    """A fault, with times in ms.
+    """A fault to inject.
 
     Attributes:
-        at_ms: when, from the start of the run.
-        kind: what.
-        source: the host that it strikes, or the source of a link.
-        target: the other host, where there is one.
-        duration_ms: for how long; see `FaultKind`.
+        at_ms: time after the start of the run, in ms.
+        kind: the kind of fault.
+        source: the affected host, or the source of the affected link.
+        target: the second host; empty if the fault affects only one.
+        duration_ms: duration in ms; `FaultKind` describes its effect.
     """
 
     at_ms: float = msgspec.field(name="at")
@@ -92,15 +92,15 @@
 
 
 class Environment(msgspec.Struct, frozen=True):
-    """All that is emulated around the couriers.
+    """The environment of the couriers.
 
     Attributes:
-        default_link: the profile of each link that has none of its own.
-        link_overrides: the profiles of links that have.
-        is_fragmenting: whether reads and writes break at random boundaries.
-        faults: what is injected.
-        clock_drifts: seconds that the couriers' clocks gain in a true second, in the couriers' order.
-        wall_offsets_ms: by how much the couriers' wall times are ahead of the true one.
+        default_link: the profile of each link without an override.
+        link_overrides: the profiles of individual links.
+        is_fragmenting: whether reads and writes are split at random boundaries.
+        faults: the faults to inject.
+        clock_drifts: seconds that the couriers' clocks gain per true second, in the couriers' order.
+        wall_offsets_ms: offset in ms of each courier's wall time from the true one, in the couriers' order.
     """
 
     default_link: LinkProfile = msgspec.field(default_factory=LinkProfile, name="way")
--- a/winchspan/simulation/fault_injector.py
+++ b/winchspan/simulation/fault_injector.py
@@ -1,4 +1,4 @@
-"""Injects the faults of an environment into an emulation, and notifies the auditor of what it has to know."""
+"""Injects the faults of an environment into an emulation, and notifies the auditor of those that it needs."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from winchspan.simulation.link import LinkId
 from winchspan.simulation.network import Network
 
-SETTINGS_LAG_SECONDS: Final = 1.2
-"""From SIGHUP until new settings bind, as the platform's page has it."""
+SETTINGS_DELAY_SECONDS: Final = 1.2
+"""Time after SIGHUP by which new settings must be in force, according to the platform's specification."""
 
 _ONLINE_RETRY_SECONDS: Final = 0.1
 
 
 class FaultInjector:
-    """Injects faults at their times."""
+    """Injects faults at their scheduled times."""
 
     def __init__(
         self,
@@ -34,12 +34,12 @@
         couriers: Sequence[EmulatedCourier],
         classes: Mapping[str, MessageClass],
     ) -> None:
-        """Create it.
+        """Create an injector.
 
         Args:
             network: the network.
             auditor: the auditor.
-            couriers: all couriers; they may be added until `schedule`.
+            couriers: all couriers; the caller may add couriers to the sequence until `schedule`.
             classes: the platform's message classes.
         """
         self._network = network
@@ -47,10 +47,12 @@
         self._auditor = auditor
         self._couriers = couriers
         self._classes = dict(classes)
-        self._binding_timers: dict[str, asyncio.TimerHandle] = {}  # until changed classes bind, by host
+        self._class_change_timers: dict[
+            str, asyncio.TimerHandle
+        ] = {}  # by host, until changed classes are in force
 
     def schedule(self, timers: TimerQueue, begin_ms: float, faults: Sequence[InjectedFault]) -> None:
-        """Schedule faults of a run; raises EmulationError for one that strikes nobody."""
+        """Schedule the faults of a run; raises EmulationError for a fault of a nonexistent courier."""
         hosts = {courier.machine.host for courier in self._couriers}
         for fault in faults:
             if fault.kind not in NETWORK_FAULTS and fault.source not in hosts:
@@ -64,17 +66,17 @@
     def _inject(self, fault: InjectedFault) -> None:
         if fault.kind is FaultKind.PARTITION:
             link = LinkId(fault.source, fault.target)
-            self._network.links.cut(link)
+            self._network.links.partition(link)
             self._loop.call_later(fault.duration_ms / MS_PER_SECOND, self._network.links.heal, link)
         elif fault.kind is FaultKind.RESET_CONNECTIONS:
             self._network.reset_connections(fault.source, fault.target or None)
         else:
-            (courier,) = (one for one in self._couriers if one.machine.host == fault.source)
+            (courier,) = (other for other in self._couriers if other.machine.host == fault.source)
             if not self._inject_into_machine(fault, courier):
                 self._inject_as_operator(fault, courier)
 
     def _inject_into_machine(self, fault: InjectedFault, courier: EmulatedCourier) -> bool:
-        """Inject a fault of a machine or a process; return False if it is of another kind."""
+        """Inject a fault of a machine or process; return False if the fault is of another kind."""
         match fault.kind:
             case FaultKind.POWER_LOSS:
                 courier.lose_power_for(fault.duration_ms)
@@ -117,15 +119,16 @@
         self._loop.call_later(fault.duration_ms / MS_PER_SECOND, free_space)
 
     def _reconfigure(self, fault: InjectedFault, courier: EmulatedCourier) -> None:
-        """Change settings for a while.
+        """Change the settings of a courier for the fault's duration.
 
-        Until they bind, clients go by either, and the laxer of both is what the courier is held to.
+        Until changed settings are in force, clients may rely on either settings. The auditor applies the less
+        strict ones, which are the original ones.
         """
         host = courier.machine.host
         courier.use_changed_settings()
         self._use_original_classes(host)
-        self._binding_timers[host] = self._loop.call_later(
-            SETTINGS_LAG_SECONDS, self._auditor.on_classes_changed, host, changed_classes(self._classes)
+        self._class_change_timers[host] = self._loop.call_later(
+            SETTINGS_DELAY_SECONDS, self._auditor.on_classes_changed, host, changed_classes(self._classes)
         )
         self._loop.call_later(fault.duration_ms / MS_PER_SECOND, self._restore_settings, courier)
 
@@ -135,19 +138,19 @@
 
     def _use_original_classes(self, host: str) -> None:
         self._auditor.on_classes_changed(host, self._classes)
-        if host in self._binding_timers:
-            self._binding_timers.pop(host).cancel()
+        if host in self._class_change_timers:
+            self._class_change_timers.pop(host).cancel()
 
     def _take_endpoint_offline(self, fault: InjectedFault, courier: EmulatedCourier) -> None:
-        """Take one endpoint of a partner offline for a while."""
-        name = courier.find_endpoint(int(fault.target.removeprefix("partner ") or 0))
+        """Take an endpoint of a partner offline for the fault's duration."""
+        name = courier.find_endpoint_name(int(fault.target.removeprefix("partner ") or 0))
         if name and courier.request(f"/control/endpoints/{name}/offline"):
             self._auditor.on_endpoint_offline(courier.machine.host, name)
             duration_seconds = fault.duration_ms / MS_PER_SECOND
             self._loop.call_later(duration_seconds, self._put_endpoint_online, courier, name)
 
     def _put_endpoint_online(self, courier: EmulatedCourier, name: str) -> None:
-        """Put an endpoint online again; the request is repeated until the courier serves and accepts it."""
+        """Put an endpoint online again; retries the request until the courier serves and accepts it."""
         self._auditor.on_endpoint_online(courier.machine.host, name)
         if not courier.request(f"/control/endpoints/{name}/online"):
             self._loop.call_later(_ONLINE_RETRY_SECONDS, self._put_endpoint_online, courier, name)
--- a/winchspan/simulation/fleet_member.py
+++ b/winchspan/simulation/fleet_member.py
@@ -1,4 +1,4 @@
-"""One courier of an emulated fleet: the unchanged application on a machine of its own."""
+"""A courier of an emulated fleet: the unchanged application on its own machine."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from winchspan.simulation.system import EmulatedSystem
 
 START_UP_SECONDS: Final = 0.1
-"""From a process's start to the first line of our code."""
+"""Time from the start of a process until its application starts."""
 
 CONFIG_FILE: Final = "config.json"
 STATE_DIRECTORY: Final = "state"
 ROLE_METRIC_PREFIX: Final = "fleet.duty."
-"""Of the metrics that give the epoch under which a courier holds a leased role; 0 if it does not."""
+"""Prefix of the metrics whose values are the epoch under which a courier holds a leased role, or 0."""
 
 
 class FleetMember:
@@ -29,19 +29,19 @@
 
     Attributes:
         name: its name.
-        folder: its directory, which lasts.
+        folder: its directory, which is preserved over restarts.
         machine: its machine.
-        application: the courier that runs, or the latest one that ended by itself; None after a kill.
-        abandoned_tasks: tasks of incarnations that were killed, to be cancelled when the emulation is over.
+        application: the latest application, running or ended by itself; None before a start and after a kill.
+        abandoned_tasks: tasks of killed incarnations, to be cancelled at the end of the emulation.
     """
 
     def __init__(self, machine: Machine, folder: Path, operator_text: str) -> None:
-        """Create it, not running.
+        """Create a member without starting it.
 
         Args:
             machine: its machine.
             folder: its directory.
-            operator_text: its operator's file.
+            operator_text: text of its operator's file.
         """
         self.name = machine.host
         self.folder = folder
@@ -54,7 +54,7 @@
 
     # ---- faults ------------------------------------------------------------------------------------------
     def start(self) -> None:
-        """Start it after the time that a process takes to start up, unless it runs."""
+        """Start it after `START_UP_SECONDS`, unless it is running or starting."""
         if not self.is_running and self._start_timer is None:
             loop = self.machine.network.loop
             self._start_timer = loop.call_later(START_UP_SECONDS, self._on_started)
@@ -67,7 +67,7 @@
         self.application, self._run_task = run_application(incarnation, operator, context)
 
     def kill(self) -> None:
-        """End it without warning."""
+        """Kill it without a shutdown."""
         if self._start_timer is not None:
             self._start_timer.cancel()
             self._start_timer = None
@@ -77,7 +77,7 @@
         self.application = None
 
     def kill_and_erase(self) -> None:
-        """End it without warning, and erase its state directory."""
+        """Kill it without a shutdown, and erase its state directory."""
         self.kill()
         state_directory = self.folder / STATE_DIRECTORY
         shutil.rmtree(state_directory)
@@ -94,14 +94,14 @@
             self.machine.incarnation.resume()
 
     def fill_disk(self) -> None:
-        """Let writes to its disk fail."""
+        """Make writes to its disk fail."""
         self.machine.disk.is_full = True
 
     def free_disk(self) -> None:
-        """Let writes to its disk succeed again."""
+        """Make writes to its disk succeed again."""
         self.machine.disk.is_full = False
 
-    # ---- what is observed --------------------------------------------------------------------------------
+    # ---- observation -------------------------------------------------------------------------------------
     @property
     def is_running(self) -> bool:
         """Whether its process exists, suspended or not."""
@@ -118,8 +118,8 @@
         """Whether it runs and is not suspended."""
         return self.is_running and not self.is_suspended
 
-    def figures(self) -> dict[str, int]:
-        """Return the metrics of its components; none while it does not run."""
+    def metrics(self) -> dict[str, int]:
+        """Return the metrics of all components; empty without an application."""
         metrics: dict[str, int] = {}
         for component in self.application.components if self.application is not None else ():
             metrics |= component.metrics()
@@ -129,12 +129,12 @@
         """Return the leased roles that it holds."""
         return [
             metric.removeprefix(ROLE_METRIC_PREFIX)
-            for metric, epoch in self.figures().items()
+            for metric, epoch in self.metrics().items()
             if epoch and metric.startswith(ROLE_METRIC_PREFIX)
         ]
 
     def check(self) -> None:
-        """Raise what has ended it, if it has ended by itself."""
+        """Raise its error, or AssertionError, if its application has ended by itself."""
         if self.is_running and self._run_task is not None and self._run_task.done():
             self._run_task.result()
             raise AssertionError(f"{self.name} has ended by itself")
--- a/winchspan/simulation/incarnation.py
+++ b/winchspan/simulation/incarnation.py
@@ -1,4 +1,4 @@
-"""The event loop as one incarnation of a program sees it, with its clock, signals and sockets."""
+"""A process on an emulated machine: its view of the event loop, with clock, signals and sockets."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 
 
 class Incarnation:
-    """One process from its start to its end; once it has ended, nothing of it runs any more.
+    """A process from its start to its end; no callback of it runs after its end.
 
-    It offers as much of an `asyncio.AbstractEventLoop` as the application and its connections use.
+    It has the methods of `asyncio.AbstractEventLoop` that the application and its connections use.
 
     Attributes:
         network: the network that it uses.
-        clock: its machine's.
+        clock: the clock of its machine.
         host: the name of its machine.
-        number: the count of incarnations on its machine.
+        number: sequence number among the incarnations of its machine.
         is_alive: whether it has not ended.
-        poll_monitor: when its loop has polled its sockets.
-        random: its random numbers, the same in each run.
+        poll_monitor: records when its loop has polled its sockets.
+        random: its random number generator, seeded with host and number.
     """
 
     def __init__(self, network: Network, clock: MachineClock, host: str, number: int = 0) -> None:
@@ -58,11 +58,11 @@
 
     # ---- life cycle --------------------------------------------------------------------------------------
     def add_end_callback(self, action: Callable[[], None]) -> None:
-        """Call back when it ends, for what the system would do then, such as closing files."""
+        """Call back at its end, to do what the operating system would, such as closing files."""
         self._end_callbacks.append(action)
 
     def kill(self) -> None:
-        """End it at once; its system closes what it had open."""
+        """End it immediately; the system closes its sockets and files."""
         if not self.is_alive:
             return
         self.is_alive = False
@@ -76,7 +76,7 @@
             action()
 
     def pending_tasks(self) -> list[asyncio.Task[Any]]:
-        """Return its tasks that are not done, to be cancelled when the emulation is over."""
+        """Return its unfinished tasks, to be cancelled at the end of the emulation."""
         return [task for task in self._tasks if not task.done()]
 
     def deliver_signal(self, number: int) -> bool:
@@ -89,7 +89,7 @@
     # ---- suspension --------------------------------------------------------------------------------------
     @property
     def is_suspended(self) -> bool:
-        """Whether it hangs: what arrives and what is due waits."""
+        """Whether it is suspended, so that arrivals and due callbacks are deferred."""
         return self._suspension.is_active
 
     def suspend(self) -> None:
@@ -101,7 +101,7 @@
         self._suspension.end()
 
     def suspend_for(self, duration_ms: float) -> None:
-        """Suspend it for a while, unless it is suspended already."""
+        """Suspend it for a duration, unless it is already suspended."""
         if self.is_alive and not self.is_suspended:
             self.suspend()
             self._loop.call_later(duration_ms / MS_PER_SECOND, self.resume)
@@ -120,23 +120,23 @@
 
     # ---- hand-over ---------------------------------------------------------------------------------------
     def release_connection(self, connection: ConnectionEnd) -> None:
-        """Hand a connection over: it is not notified of it any more."""
-        self._connections = [one for one in self._connections if one is not connection]
+        """Release a connection for a hand-over; its events are no longer delivered here."""
+        self._connections = [other for other in self._connections if other is not connection]
         connection.detach()
 
     def release_listener(self, listener: EmulatedListener) -> None:
         """Leave a listening socket open for the next incarnation."""
-        self._listeners = [one for one in self._listeners if one is not listener]
+        self._listeners = [other for other in self._listeners if other is not listener]
         listener.on_readable = None
 
     def inherit_listener(self, listener: EmulatedListener) -> None:
-        """Take over a listening socket that the previous incarnation has left open."""
+        """Take over a listening socket that the previous incarnation has released."""
         listener.process = self
         self._listeners.append(listener)
 
     # ---- asyncio: callbacks and tasks --------------------------------------------------------------------
     def time(self) -> float:
-        """Return the machine's clock in seconds."""
+        """Return the reading of the machine's clock in seconds."""
         return self.clock.now() / MS_PER_SECOND
 
     def _run_callback(self, callback: Callable[..., object], arguments: tuple[object, ...]) -> None:
@@ -156,7 +156,7 @@
     def call_later(
         self, delay: float, callback: Callable[..., object], *args: object, context: Context | None = None
     ) -> asyncio.TimerHandle:
-        """Call back after some seconds of the machine's clock."""
+        """Call back after a delay in seconds of the machine's clock."""
         return self._loop.call_later(
             delay / self.clock.rate, self._run_callback, callback, args, context=context
         )
@@ -168,9 +168,9 @@
         name: str | None = None,
         context: Context | None = None,
     ) -> asyncio.Task[_Result]:
-        """Run a coroutine."""
+        """Run a coroutine as a task."""
         task = self._loop.create_task(coroutine, name=name, context=context)
-        self._tasks = [*(one for one in self._tasks if not one.done()), task]
+        self._tasks = [*(other for other in self._tasks if not other.done()), task]
         return task
 
     def add_signal_handler(self, sig: int, callback: Callable[..., object], *args: object) -> None:
@@ -178,27 +178,27 @@
         self._signal_handlers[sig] = partial(callback, *args)
 
     def set_exception_handler(self, handler: object) -> None:
-        """Ignore the handler: an error that nothing catches ends the emulation."""
+        """Ignore the handler: an uncaught error ends the emulation."""
 
     def add_reader(self, fd: EmulatedListener, callback: Callable[..., object], *args: object) -> None:
-        """Call back as long as a connection waits at a listener."""
+        """Call back while a connection waits at a listener."""
         fd.on_readable = partial(callback, *args)
         fd.schedule_notification()
 
     def remove_reader(self, fd: EmulatedListener) -> bool:
-        """Call back no more."""
+        """Stop calling back for a listener."""
         fd.on_readable = None
         return True
 
     # ---- asyncio: sockets --------------------------------------------------------------------------------
     def listen(self, port: int) -> EmulatedListener:
-        """Listen on a port; 0 stands for one that is free. Raises OSError."""
+        """Listen on a port; 0 stands for any free port. Raises OSError."""
         listener = self.network.listen(self, port)
         self._listeners.append(listener)
         return listener
 
     def bind(self, port: int) -> EmulatedDatagramSocket:
-        """Open a datagram socket at a port. Raises OSError."""
+        """Open a datagram socket on a port. Raises OSError."""
         socket = self.network.bind(self, port)
         self._datagram_sockets.append(socket)
         return socket
@@ -206,7 +206,7 @@
     async def create_datagram_endpoint(
         self, protocol_factory: ProtocolFactory, *, sock: EmulatedDatagramSocket, **options: object
     ) -> tuple[EmulatedDatagramSocket, asyncio.BaseProtocol]:
-        """Assign a datagram socket to a protocol."""
+        """Attach a protocol to a datagram socket."""
         protocol = protocol_factory()
         sock.attach(cast("asyncio.DatagramProtocol", protocol))
         return sock, protocol
@@ -232,7 +232,7 @@
     async def connect_accepted_socket(
         self, protocol_factory: ProtocolFactory, sock: ConnectionEnd, **options: object
     ) -> tuple[ConnectionEnd, asyncio.BaseProtocol]:
-        """Assign an accepted connection to a protocol."""
+        """Attach a protocol to an accepted connection."""
         if not self.is_alive:
             await self._wait_forever()
         return self._adopt(sock, protocol_factory)
@@ -244,19 +244,19 @@
         port: int | None = None,
         **options: object,
     ) -> EmulatedServer:
-        """Accept every connection to a port; None and 0 stand for one that is free."""
+        """Accept every connection to a port; None and 0 stand for any free port."""
         listener = self.listen(int(port or 0))
         listener.on_connection = lambda connection: self._adopt_if_alive(connection, protocol_factory)
         return EmulatedServer(listener)
 
     async def _wait_forever(self) -> None:
-        """Let the caller wait for ever: nothing of a process that has ended goes on."""
+        """Never return, because coroutines of a process that has ended must not continue."""
         await self._loop.create_future()
 
     def _adopt(
         self, connection: ConnectionEnd, factory: ProtocolFactory
     ) -> tuple[ConnectionEnd, asyncio.BaseProtocol]:
-        self._connections = [*(one for one in self._connections if not one.is_closed), connection]
+        self._connections = [*(other for other in self._connections if not other.is_closed), connection]
         protocol = factory()
         connection.attach(self, cast("StreamProtocol", protocol))
         return connection, protocol
@@ -267,10 +267,10 @@
 
 
 class EmulatedServer:
-    """As much of an `asyncio.Server` as fakes use.
+    """The part of the `asyncio.Server` interface that fakes use.
 
     Attributes:
-        sockets: its one listener.
+        sockets: a tuple with the only listener.
     """
 
     def __init__(self, listener: EmulatedListener) -> None:
@@ -282,4 +282,4 @@
         self._listener.close()
 
     async def wait_closed(self) -> None:
-        """Return at once: nothing is left to wait for."""
+        """Return immediately: `close` is synchronous."""
--- a/winchspan/simulation/link.py
+++ b/winchspan/simulation/link.py
@@ -1,4 +1,4 @@
-"""What one direction between two hosts of the emulated network is like, and how a direction is named."""
+"""The identity and the properties of a link: one direction between two hosts of the emulated network."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 
 
 class LinkId(NamedTuple):
-    """One direction between two hosts."""
+    """Identifies a link by its two hosts."""
 
     source: str
     target: str
 
 
 class LinkProfile(msgspec.Struct, frozen=True):
-    """Delay, bandwidth and datagram faults of one direction.
+    """Delay, bandwidth and datagram faults of a link.
 
-    The encoded names are part of the address under which experiments keep their results.
+    The encoded names are part of the address under which experiments store their results.
 
     Attributes:
-        latency_ms: the least delay.
-        mean_jitter_ms: the mean of an exponential delay on top of it.
-        bandwidth_bytes_per_second: the rate; 0 for an unlimited one.
-        loss_probability: how likely a datagram is lost.
-        duplication_probability: how likely a datagram that is not lost arrives twice.
+        latency_ms: the minimum delay.
+        mean_jitter_ms: the mean of an exponentially distributed additional delay.
+        bandwidth_bytes_per_second: the bandwidth; 0 for unlimited.
+        loss_probability: the probability that a datagram is lost.
+        duplication_probability: the probability that a datagram that is not lost arrives twice.
     """
 
     latency_ms: float = msgspec.field(default=0.2, name="latency")
--- a/winchspan/simulation/links.py
+++ b/winchspan/simulation/links.py
@@ -1,6 +1,7 @@
-"""Carries what hosts send each other, with delays, bandwidth, partitions and power failures.
+"""Transmits between hosts, with delays, bandwidth, partitions and power failures.
 
-A partitioned link loses no bytes of a connection: what TCP would send again arrives when the link is healed.
+A partitioned link loses no bytes of a connection: they arrive when the link is healed, since TCP would
+retransmit them.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class _HeldDelivery(NamedTuple):
-    """What has reached a partitioned link, and is delivered when that is healed."""
+    """A delivery on a partitioned link, which is held until the link is healed."""
 
     link: LinkId
     deliver: Callable[[], None]
@@ -26,8 +27,8 @@
     """The links between all hosts.
 
     Attributes:
-        transmitted_bytes: the bytes that were sent so far, by link.
-        powered_off_hosts: the hosts without power; what reaches them, or was sent by them, is lost.
+        transmitted_bytes: number of bytes sent so far, by link.
+        powered_off_hosts: the hosts without power; deliveries from or to them are lost.
     """
 
     def __init__(
@@ -37,13 +38,13 @@
         delay_seed: np.random.SeedSequence,
         loss_seed: np.random.SeedSequence,
     ) -> None:
-        """Create links.
+        """Create the links.
 
         Args:
-            loop: the virtual time.
-            default_profile: of each link that has no profile of its own.
-            delay_seed: of the random stream of delays.
-            loss_seed: of the random stream of datagram faults.
+            loop: the event loop in virtual time.
+            default_profile: profile of each link whose profile is not set.
+            delay_seed: seed of the random stream of delays.
+            loss_seed: seed of the random stream of datagram faults.
         """
         self.transmitted_bytes: Counter[LinkId] = Counter()
         self.powered_off_hosts: set[str] = set()
@@ -51,7 +52,7 @@
         self._default_profile = default_profile
         self._profiles: dict[LinkId, LinkProfile] = {}
         self._partitioned: set[LinkId] = set()
-        self._held: deque[_HeldDelivery] = deque()
+        self._held_deliveries: deque[_HeldDelivery] = deque()
         self._delay_random = np.random.default_rng(delay_seed)
         self._loss_random = np.random.default_rng(loss_seed)
 
@@ -59,22 +60,22 @@
         """Set the profile of a link."""
         self._profiles[link] = profile
 
-    def cut(self, link: LinkId) -> None:
-        """Let nothing pass on a link until it is healed."""
+    def partition(self, link: LinkId) -> None:
+        """Partition a link: nothing is delivered over it until it is healed."""
         self._partitioned.add(link)
 
     def heal(self, link: LinkId) -> None:
-        """Deliver what has been held on a link, and let pass what comes."""
+        """Heal a link, and deliver what it has held."""
         self._partitioned.discard(link)
-        self._deliver_held()
+        self._release_held_deliveries()
 
     def heal_all(self) -> None:
-        """Deliver all that has been held, and let pass all that comes."""
+        """Heal all links, and deliver what they have held."""
         self._partitioned.clear()
-        self._deliver_held()
+        self._release_held_deliveries()
 
     def bytes_between(self, hosts: set[str]) -> int:
-        """Return how many bytes some hosts have sent each other."""
+        """Return the number of bytes that some hosts have sent to each other."""
         return sum(
             size
             for link, size in self.transmitted_bytes.items()
@@ -82,7 +83,7 @@
         )
 
     def datagram_copies(self, link: LinkId) -> int:
-        """Draw how often a datagram is transmitted: once, not at all, or twice."""
+        """Draw how many copies of a datagram to transmit: 1, 0 if it is lost, or 2 if it is duplicated."""
         profile = self._profiles.get(link, self._default_profile)
         if self._draw(profile.loss_probability) or link in self._partitioned:
             return 0
@@ -95,27 +96,28 @@
         on_arrival: Callable[[], None],
         *,
         not_before_ns: int = 0,
-        is_held_when_cut: bool = True,
+        is_held_while_partitioned: bool = True,
     ) -> int:
-        """Transmit something over a link.
+        """Transmit a number of bytes over a link.
 
         Args:
-            link: where it goes.
-            size_bytes: how much of the bandwidth it takes.
-            on_arrival: called when it arrives; not called if either host has no power then.
-            not_before_ns: it arrives later than at this reading of the loop's clock.
-            is_held_when_cut: whether a partitioned link holds it until it is healed, or loses it.
+            link: the link.
+            size_bytes: number of bytes, which determines the transmission time.
+            on_arrival: called at the arrival, unless either host is without power at that time.
+            not_before_ns: reading of the loop's clock after which the bytes arrive, in ns.
+            is_held_while_partitioned: whether a partitioned link delivers the bytes after it is healed (True)
+                or loses them (False).
 
         Returns:
-            When it arrives, in ns of the loop's clock, unless the link is cut by then.
+            The arrival time in ns of the loop's clock, if the link is not partitioned at that time.
         """
         self.transmitted_bytes[link] += size_bytes
         arrival_ns = self._arrival_ns(link, size_bytes, not_before_ns)
 
         def arrive() -> None:
             if link in self._partitioned:
-                if is_held_when_cut:
-                    self._held.append(_HeldDelivery(link, arrive))
+                if is_held_while_partitioned:
+                    self._held_deliveries.append(_HeldDelivery(link, arrive))
             elif self.powered_off_hosts.isdisjoint(link):
                 on_arrival()
 
@@ -127,7 +129,7 @@
         delay_ms = profile.latency_ms
         if profile.mean_jitter_ms > 0.0:
             delay_ms += float(self._delay_random.exponential(profile.mean_jitter_ms))
-        # Timers with the same reading have no order, so that no two arrivals of a stream may share one.
+        # Timers that are due at the same time have no order: two arrivals of a stream need different times.
         arrival_ns = max(not_before_ns + 1, self._loop.ns + int(delay_ms * NS_PER_MS))
         if profile.bandwidth_bytes_per_second > 0.0:
             arrival_ns += int(size_bytes / profile.bandwidth_bytes_per_second * NS_PER_SECOND)
@@ -136,11 +138,11 @@
     def _draw(self, probability: float) -> bool:
         return probability > 0.0 and float(self._loss_random.random()) < probability
 
-    def _deliver_held(self) -> None:
-        held = self._held
-        self._held = deque()
-        for delivery in held:
+    def _release_held_deliveries(self) -> None:
+        held_deliveries = self._held_deliveries
+        self._held_deliveries = deque()
+        for delivery in held_deliveries:
             if delivery.link in self._partitioned:
-                self._held.append(delivery)
+                self._held_deliveries.append(delivery)
             else:
                 delivery.deliver()
--- a/winchspan/simulation/listener.py
+++ b/winchspan/simulation/listener.py
@@ -12,18 +12,18 @@
 from winchspan.simulation.network_process import LOCALHOST, NetworkProcess
 
 BACKLOG_LIMIT: Final = 512
-"""Connections that wait to be accepted; attempts beyond them are dropped."""
+"""Maximum of connections that wait to be accepted; further connection requests are dropped."""
 
 
 class EmulatedListener:
-    """A listening socket: `winchspan.runtime.system.Listener`.
+    """A listening socket that implements `winchspan.runtime.system.Listener`.
 
     Attributes:
-        process: who listens.
+        process: the listening process.
         port: the port.
-        host: where clients find the port.
-        on_connection: called with each accepted connection, in place of a backlog.
-        on_readable: called as long as a connection waits in the backlog.
+        host: the host name to which clients connect.
+        on_connection: called with each new connection instead of adding it to the backlog.
+        on_readable: called in each tick while a connection waits in the backlog.
     """
 
     def __init__(
@@ -45,16 +45,16 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether the backlog accepts no further connection."""
+        """Whether the backlog is full."""
         return len(self._backlog) >= BACKLOG_LIMIT
 
     @property
     def is_readable(self) -> bool:
-        """Whether a connection waits that a reader is about to accept."""
+        """Whether a connection waits in the backlog, and a reader is set to accept it."""
         return bool(self._backlog) and self.on_readable is not None
 
     def add_connection(self, connection: ConnectionEnd) -> None:
-        """Accept a connection, or let it wait in the backlog."""
+        """Pass a connection to `on_connection`, or add it to the backlog."""
         if self.on_connection is not None:
             self.on_connection(connection)
             return
@@ -62,7 +62,7 @@
         self.schedule_notification()
 
     def schedule_notification(self) -> None:
-        """Notify the reader in the next tick, and again as long as a connection waits."""
+        """Notify the reader in the next tick, and in each later tick while a connection waits."""
         if self.is_readable and self.process.is_alive:
             self._loop.call_soon(self._notify_reader)
 
@@ -74,10 +74,10 @@
             self.schedule_notification()
 
     def accept(self) -> tuple[ConnectionEnd, tuple[str, int]]:
-        """Return the next connection that waits, and its client's address.
+        """Return the next waiting connection, and its client's address.
 
         Raises:
-            BlockingIOError: if none waits.
+            BlockingIOError: if no connection waits.
         """
         while self._backlog:
             connection = self._backlog.popleft()
@@ -90,7 +90,7 @@
         return LOCALHOST, self.port
 
     def close(self) -> None:
-        """Stop listening; connections that wait are reset."""
+        """Stop listening, and reset the waiting connections."""
         self._on_close(self)
         self.on_readable = None
         self.on_connection = None
--- a/winchspan/simulation/loop.py
+++ b/winchspan/simulation/loop.py
@@ -1,4 +1,4 @@
-"""An asyncio event loop in virtual time: where nothing is ready, its clock jumps to the next deadline."""
+"""An asyncio event loop in virtual time: when no callback is ready, its clock jumps to the next timer."""
 
 from __future__ import annotations
 
@@ -9,59 +9,60 @@
 
 NS_PER_SECOND: Final = 1_000_000_000
 NS_PER_MS: Final = 1_000_000
-FIRST_READING_NS: Final = 1_000 * NS_PER_SECOND
+INITIAL_CLOCK_NS: Final = 1_000 * NS_PER_SECOND
 MIN_DELAY_SECONDS: Final = 1e-9
-"""No timer fires at the very reading at which it was set, unless its delay is 0."""
+"""Minimum delay of a timer, unless its delay is 0: it fires at a later clock reading than it was set at."""
 
 ProtocolFactory: TypeAlias = Callable[[], asyncio.BaseProtocol]
 
 
 class ConnectionProvider(Protocol):
-    """Connects and listens on behalf of code that runs on no emulated machine of its own."""
+    """Connects and listens for code that runs on no emulated machine."""
 
     async def create_connection(
         self, protocol_factory: ProtocolFactory, host: str | None = None, port: int | None = None
     ) -> tuple[asyncio.Transport, asyncio.BaseProtocol]:
-        """Connect; raises OSError."""
+        """Connect to a port; raises OSError."""
 
     async def create_server(
         self, protocol_factory: ProtocolFactory, host: str | None = None, port: int | None = None
     ) -> object:
-        """Listen, and return as much of an `asyncio.Server` as fakes use."""
+        """Listen on a port; return the part of the `asyncio.Server` interface that fakes use."""
 
 
 class DeadlockError(RuntimeError):
-    """Nothing is ready and no timer is set: whoever waits would wait for ever."""
+    """No callback is ready and no timer is set, so that the loop would wait for ever."""
 
 
 class _ClockAdvancer:
-    """Stands in for a selector: it waits for no descriptor, and moves the clock instead."""
+    """Replaces the selector: instead of waiting for descriptors it advances the clock."""
 
     def __init__(self, loop: EmulatedLoop) -> None:
         self._loop = loop
 
     def select(self, timeout_seconds: float | None) -> list[object]:
         if timeout_seconds is None:
-            raise DeadlockError("nothing is ready and no timer is set")
+            raise DeadlockError("no callback is ready and no timer is set")
         if timeout_seconds > 0.0:
             self._loop.advance(timeout_seconds)
         return []
 
 
 class EmulatedLoop(asyncio.BaseEventLoop):
-    """The loop of a whole emulation.
+    """The event loop that all hosts of an emulation share.
 
     Attributes:
         ns: the virtual clock in nanoseconds.
-        outside: connects for whoever belongs to no machine; it is set before the first connection.
+        connection_provider: opens connections for code that runs on no emulated machine; set it before the
+            first connection.
     """
 
     def __init__(self) -> None:
-        self.ns = FIRST_READING_NS
+        self.ns = INITIAL_CLOCK_NS
         super().__init__()
         self._selector = _ClockAdvancer(self)
         self._clock_resolution = MIN_DELAY_SECONDS
-        self.outside: ConnectionProvider | None = None
+        self.connection_provider: ConnectionProvider | None = None
 
     # ---- time --------------------------------------------------------------------------------------------
     def time(self) -> float:
@@ -69,7 +70,7 @@
         return self.ns / NS_PER_SECOND
 
     def advance(self, timeout_seconds: float) -> None:
-        """Advance the clock, rounded up to whole nanoseconds, by one at least."""
+        """Advance the clock by a time rounded up to whole nanoseconds, at least one."""
         self.ns += max(1, -int(-timeout_seconds * NS_PER_SECOND // 1))
 
     def call_later(
@@ -79,22 +80,23 @@
         *args: object,
         context: Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Call back after some seconds.
+        """Call back after a delay in seconds.
 
-        Guards against a timer that is early by less than a float can hold, and is set again and again.
+        A positive delay is at least `MIN_DELAY_SECONDS`: a timer that fires too early by less than a float's
+        resolution would otherwise be set again and again without an advance of the clock.
         """
         return super().call_later(
             max(delay, MIN_DELAY_SECONDS) if delay > 0.0 else delay, callback, *args, context=context
         )
 
-    # ---- what a selector loop would do -------------------------------------------------------------------
+    # ---- methods of a selector loop ----------------------------------------------------------------------
     def _process_events(self, event_list: list[object]) -> None:
-        """Do nothing: the network's events are timers."""
+        """Do nothing: events of the emulated network are timers."""
 
     def _write_to_self(self) -> None:
-        """Do nothing: no thread sleeps in a selector."""
+        """Do nothing: there is no blocking selector to wake up."""
 
-    # ---- connections from and to what is no machine ------------------------------------------------------
+    # ---- connections of code that runs on no emulated machine --------------------------------------------
     async def create_connection(  # type: ignore[override]  # few of the superclass's options are emulated
         self,
         protocol_factory: ProtocolFactory,
@@ -103,8 +105,8 @@
         **options: object,
     ) -> tuple[asyncio.Transport, asyncio.BaseProtocol]:
         """Connect over the emulated network."""
-        assert self.outside is not None
-        return await self.outside.create_connection(protocol_factory, host, port)
+        assert self.connection_provider is not None
+        return await self.connection_provider.create_connection(protocol_factory, host, port)
 
     async def create_server(  # type: ignore[override]  # few of the superclass's options are emulated
         self,
@@ -113,6 +115,6 @@
         port: int | None = None,
         **options: object,
     ) -> object:
-        """Listen on the emulated network; port 0 stands for one that is free."""
-        assert self.outside is not None
-        return await self.outside.create_server(protocol_factory, host, port)
+        """Listen on the emulated network; port 0 stands for any free port."""
+        assert self.connection_provider is not None
+        return await self.connection_provider.create_server(protocol_factory, host, port)
--- a/winchspan/simulation/machine.py
+++ b/winchspan/simulation/machine.py
@@ -9,24 +9,24 @@
 
 
 class Machine:
-    """A host on which one incarnation of a program runs after the other.
+    """A host that runs the incarnations of a program one after another.
 
     Attributes:
-        network: the network that it is connected to.
-        host: its name there.
+        network: the network to which it is connected.
+        host: its host name.
         clock: its clocks.
         disk: its disk.
-        incarnation: the latest one, alive or not; None before the first.
+        incarnation: the latest incarnation, alive or not; None before the first.
     """
 
     def __init__(self, network: Network, host: str, drift: float = 0.0, wall_offset_ms: float = 0.0) -> None:
-        """Create a machine on which nothing runs.
+        """Create a machine without a running program.
 
         Args:
-            network: to connect it to.
-            host: its name.
-            drift: seconds that its clock gains in a true second.
-            wall_offset_ms: by how much its wall time is ahead of the true one.
+            network: the network to which it is connected.
+            host: its host name.
+            drift: seconds that its clock gains per true second.
+            wall_offset_ms: offset in ms of its wall time from the true one.
         """
         self.network = network
         self.host = host
@@ -46,7 +46,7 @@
         return self.host in self.network.links.powered_off_hosts
 
     def start_program(self) -> Incarnation:
-        """Start the next incarnation of its program; the previous one must have ended."""
+        """Start the next incarnation of the program; the previous one must have ended."""
         assert not self.is_running
         self.clock.begin_process()
         self._incarnation_count += 1
@@ -54,16 +54,16 @@
         return self.incarnation
 
     def kill_program(self) -> None:
-        """End the program without warning; its system closes what it had open."""
+        """Kill the program without a shutdown; the system closes its sockets and files."""
         if self.incarnation is not None:
             self.incarnation.kill()
 
     def power_off(self) -> None:
-        """Cut the power: no other host is notified."""
+        """Turn the power off; other hosts are not notified."""
         self.network.links.powered_off_hosts.add(self.host)
         self.clock.reboot()
         self.kill_program()
 
     def power_on(self) -> None:
-        """Restore the power; what arrives for the old program is answered with a reset."""
+        """Turn the power on; packets for the old program are answered with a reset."""
         self.network.links.powered_off_hosts.discard(self.host)
--- a/winchspan/simulation/machine_clock.py
+++ b/winchspan/simulation/machine_clock.py
@@ -1,4 +1,4 @@
-"""The clocks of one emulated machine: they may drift, and its wall time may be wrong and be set."""
+"""The clocks of an emulated machine: they may drift, and the wall time may be wrong and be set."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 from winchspan.runtime.clock import Clock
 from winchspan.simulation.loop import NS_PER_MS, EmulatedLoop
 
-FIRST_UNIX_MS: Final = 1_700_000_000_000.0
-"""The true wall time at the monotonic clock's reading of 0."""
+INITIAL_UNIX_MS: Final = 1_700_000_000_000.0
+"""The true wall time when the monotonic clock reads 0."""
 
 
 class MachineClock(Clock):
     """A monotonic clock and a wall clock.
 
     Attributes:
-        rate: seconds that it counts in a true second.
+        rate: seconds that the clocks count per true second.
     """
 
     def __init__(self, loop: EmulatedLoop, drift: float = 0.0, wall_offset_ms: float = 0.0) -> None:
-        """Create clocks.
+        """Create the clocks of a machine.
 
         Args:
-            loop: the true time.
-            drift: seconds that it gains in a true second.
-            wall_offset_ms: by how much its wall time is ahead of the true one.
+            loop: the event loop, whose clock is the true time.
+            drift: seconds that the clocks gain per true second.
+            wall_offset_ms: offset in ms of the wall time from the true one.
         """
         self._loop = loop
         self.rate = 1.0 + drift
@@ -34,25 +34,25 @@
         self.begin_process()
 
     def begin_process(self) -> None:
-        """Start the persistent time of a new process from the wall time of this moment."""
+        """Set the offset of a new process's persistent time from the present wall time."""
         self.persistent_offset_ms = self.unix_ms() - self.now()
 
     def reboot(self) -> None:
-        """Start the system anew."""
+        """Change the boot id, as a reboot does."""
         self._boot_count += 1
         self.boot_id = f"boot {self._boot_count}"
 
     def now(self) -> float:
-        """Return milliseconds that only move forward."""
+        """Return the monotonic time in ms."""
         return self._loop.ns / NS_PER_MS * self.rate
 
     def boottime_ms(self) -> float:
-        """Return the same as `now`: emulated machines do not sleep."""
+        """Return the same as `now`: emulated machines are never suspended."""
         return self.now()
 
     def unix_ms(self) -> float:
         """Return the wall time in ms."""
-        return FIRST_UNIX_MS + self.now() + self._wall_offset_ms
+        return INITIAL_UNIX_MS + self.now() + self._wall_offset_ms
 
     def step_wall_time(self, step_ms: float) -> None:
         """Set the wall time forward, or back by a negative step."""
