--- a/winchspan/simulation/network.py
+++ b/winchspan/simulation/network.py
@@ -1,7 +1,8 @@
 """The emulated network: ports, connections and datagrams between hosts.
 
-Bytes of one connection and direction arrive in order, however they are delayed; connections overtake each
-other. A host that has lost its power answers nothing; one whose program has died answers as its system would.
+Bytes of a connection arrive in order in each direction, whatever their delays. There is no order between
+connections. A host without power does not respond. A host whose program has ended responds as its operating
+system would.
 """
 
 from __future__ import annotations
@@ -24,18 +25,18 @@
 
 FIRST_PORT: Final = 20_000
 UNKNOWN_HOST: Final = "outside"
-"""Where a port is taken to be that nobody has ever used."""
+"""Host of a port that has never been assigned or used."""
 
 
 class Network:
-    """The hosts' ports and connections, and the links between them.
+    """The ports and connections of all hosts, and the links between hosts.
 
     Attributes:
-        loop: the virtual time.
-        links: what carries bytes between hosts, with its faults.
-        trace: the hash of all that has crossed.
-        fragmenter: where reads and writes break.
-        observer: observes all connections; None for nobody.
+        loop: the event loop in virtual time.
+        links: the links between hosts, with their faults.
+        trace: the hash of all traffic.
+        fragmenter: splits reads and writes.
+        observer: observes all connections; None for no observer.
     """
 
     def __init__(
@@ -49,10 +50,10 @@
         """Create a network without hosts.
 
         Args:
-            loop: whose time it runs in.
-            seed: of its own random streams: delays, boundaries of reads and writes, faults of datagrams.
-            link: the profile of each link that has no profile of its own.
-            is_fragmenting: whether reads and writes break at random boundaries.
+            loop: the event loop in virtual time.
+            seed: seed of its random streams: delays, boundaries of reads and writes, datagram faults.
+            link: the profile of each link whose profile is not set; None for the default profile.
+            is_fragmenting: whether reads and writes are split at random boundaries.
         """
         delay_seed, fragment_seed, loss_seed = np.random.SeedSequence(seed).spawn(3)
         self.loop = loop
@@ -62,21 +63,21 @@
         self.observer: TrafficObserver | None = None
         self._datagram_sockets: dict[int, EmulatedDatagramSocket] = {}
         self._listeners: dict[int, EmulatedListener] = {}
-        self._host_by_port: dict[int, str] = {}  # ports are not used twice by different hosts
+        self._host_by_port: dict[int, str] = {}  # a port is never reused by another host
         self._last_port = FIRST_PORT
         self._connection_count = 0
-        self._open_ends: dict[ConnectionEnd, None] = {}  # a set in the order of opening
-        self._ends_by_descriptor: dict[int, ConnectionEnd] = {}  # for a hand-over that has begun
+        self._open_connection_ends: dict[ConnectionEnd, None] = {}  # an ordered set, in the order of opening
+        self._connection_ends_by_descriptor: dict[int, ConnectionEnd] = {}  # registered for a hand-over
 
     # ---- hosts and ports ---------------------------------------------------------------------------------
     def assign_port(self, port: int, host: str) -> None:
-        """Assign a port's listener to a host of its own."""
+        """Assign a port, and its present or future listener, to a host."""
         self._host_by_port[port] = host
         if listener := self._listeners.get(port):
             listener.host = host
 
-    def free_port(self) -> int:
-        """Return a port that nobody listens on."""
+    def find_free_port(self) -> int:
+        """Return a port without a listener."""
         while True:
             self._last_port += 1
             if self._last_port not in self._listeners:
@@ -87,21 +88,21 @@
         return self._host_by_port.get(port, UNKNOWN_HOST)
 
     def listen(self, process: NetworkProcess, port: int) -> EmulatedListener:
-        """Listen on a port; 0 stands for one that is free.
+        """Listen on a port; 0 stands for any free port.
 
         Raises:
             OSError: if the port is in use.
         """
-        port = port or self.free_port()
+        port = port or self.find_free_port()
         if port in self._listeners:
             raise OSError(errno.EADDRINUSE, f"{LOCALHOST}:{port}: address already in use")
-        host = self._host_by_port.setdefault(port, process.host)  # kept when nobody listens any more
+        host = self._host_by_port.setdefault(port, process.host)  # stays after the listener is closed
         listener = EmulatedListener(self.loop, process, port, host, self._remove_listener)
         self._listeners[port] = listener
         return listener
 
     def find_listener(self, port: int) -> EmulatedListener | None:
-        """Return who listens on a port."""
+        """Return the listener of a port; None if there is none."""
         return self._listeners.get(port)
 
     def _remove_listener(self, listener: EmulatedListener) -> None:
@@ -110,7 +111,7 @@
 
     # ---- datagrams ---------------------------------------------------------------------------------------
     def bind(self, process: NetworkProcess, port: int) -> EmulatedDatagramSocket:
-        """Open a datagram socket at a port.
+        """Open a datagram socket on a port.
 
         Raises:
             OSError: if the port is in use.
@@ -138,34 +139,34 @@
                 receiver.receive(data, (LOCALHOST, socket.port))
 
         for _ in range(self.links.datagram_copies(link)):
-            self.links.transmit(link, len(data), arrive, is_held_when_cut=False)
+            self.links.transmit(link, len(data), arrive, is_held_while_partitioned=False)
 
     # ---- connections -------------------------------------------------------------------------------------
     @property
-    def open_end_count(self) -> int:
-        """How many ends of connections are open."""
-        return len(self._open_ends)
+    def open_connection_end_count(self) -> int:
+        """Number of open ends of connections."""
+        return len(self._open_connection_ends)
 
     def connect(self, process: NetworkProcess, port: int) -> asyncio.Future[ConnectionEnd]:
-        """Begin to connect.
+        """Start to connect to a port.
 
         Returns:
-            A future that fails if nobody listens, and that is never done if no answer arrives.
+            A future that fails if the port has no listener, and that never completes if no response arrives.
         """
         self._connection_count += 1
-        attempt = _ConnectionAttempt(self, self._connection_count, process, port)
-        attempt.start()
-        return attempt.connected
+        handshake = _ConnectionHandshake(self, self._connection_count, process, port)
+        handshake.start()
+        return handshake.connected
 
     def open_connection(self, number: int, client_host: str, listener: EmulatedListener) -> ConnectionEnd:
-        """Open both ends of a connection, give the server's to its listener, and return the client's."""
+        """Open both ends of a connection, pass the server's to the listener, and return the client's."""
         client_end = ConnectionEnd(self, number, Side.CLIENT, client_host)
         server_end = ConnectionEnd(self, number, Side.SERVER, listener.host)
         client_end.peer = server_end
         server_end.peer = client_end
         self.trace.record_connection(self.loop.ns, number)
-        self._open_ends[client_end] = None
-        self._open_ends[server_end] = None
+        self._open_connection_ends[client_end] = None
+        self._open_connection_ends[server_end] = None
         if self.observer is not None:
             self.observer.connection_opened(client_end, listener.port)
             self.observer.connection_opened(server_end, listener.port)
@@ -173,10 +174,10 @@
         return client_end
 
     def reset_connections(self, host: str, peer_host: str | None = None) -> int:
-        """Reset the connections of a host, or only those with another host; return how many."""
+        """Reset the connections of a host, or only those with `peer_host`; return their number."""
         ends = [
             end
-            for end in self._open_ends
+            for end in self._open_connection_ends
             if end.host == host and not end.is_closed and peer_host in (None, end.peer.host)
         ]
         for end in ends:
@@ -185,21 +186,21 @@
         return len(ends)
 
     def remove_connection(self, end: ConnectionEnd) -> None:
-        """Forget an end that is closed."""
-        self._open_ends.pop(end, None)
+        """Unregister a closed end."""
+        self._open_connection_ends.pop(end, None)
 
     def register_descriptor(self, end: ConnectionEnd) -> int:
-        """Return a descriptor by which an end can be handed over."""
-        self._ends_by_descriptor[end.descriptor] = end
+        """Return a descriptor that identifies an end in a hand-over."""
+        self._connection_ends_by_descriptor[end.descriptor] = end
         return end.descriptor
 
-    def end_of_descriptor(self, descriptor: int) -> ConnectionEnd:
-        """Return the end that was registered under a descriptor."""
-        return self._ends_by_descriptor[descriptor]
+    def find_connection_end(self, descriptor: int) -> ConnectionEnd:
+        """Return the connection end that was registered under a descriptor."""
+        return self._connection_ends_by_descriptor[descriptor]
 
 
-class _ConnectionAttempt:
-    """The handshake of one connection: a request to the listener, and its answer."""
+class _ConnectionHandshake:
+    """The handshake of a connection: a request to the listener, and its response."""
 
     def __init__(self, network: Network, number: int, process: NetworkProcess, port: int) -> None:
         listener = network.find_listener(port)
@@ -210,7 +211,7 @@
         self._process = process
         self._port = port
         self._request_link = LinkId(process.host, target)
-        self._answer_link = LinkId(target, process.host)
+        self._response_link = LinkId(target, process.host)
 
     def start(self) -> None:
         """Send the request."""
@@ -219,13 +220,13 @@
     def _on_request(self) -> None:
         listener = self._network.find_listener(self._port)
         if listener is None:
-            self._network.links.transmit(self._answer_link, 0, self._on_refused)
+            self._network.links.transmit(self._response_link, 0, self._on_refused)
             return
         if listener.is_full:
             return  # a full backlog drops the request
         client_end = self._network.open_connection(self._number, self._process.host, listener)
         client_end.peer.last_arrival_ns = self._network.links.transmit(
-            self._answer_link, 0, lambda: self._on_accepted(client_end)
+            self._response_link, 0, lambda: self._on_accepted(client_end)
         )
 
     def _on_accepted(self, client_end: ConnectionEnd) -> None:
--- a/winchspan/simulation/network_process.py
+++ b/winchspan/simulation/network_process.py
@@ -1,4 +1,4 @@
-"""What the emulated network needs to know of the processes that use it."""
+"""The interface that the emulated network requires of processes."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from typing import Final, Protocol
 
 LOCALHOST: Final = "127.0.0.1"
-"""The address of every emulated host; ports distinguish them."""
+"""The IP address of every emulated host; hosts are distinguished by port."""
 
 
 class NetworkProcess(Protocol):
-    """One incarnation of a program, which owns connections and sockets."""
+    """A process that owns connections and sockets."""
 
     @property
     def host(self) -> str:
@@ -24,6 +24,6 @@
         """Defer an action until the process is resumed.
 
         Returns:
-            True if the process is suspended and the action has been deferred; False if the caller is
-            to go on.
+            True if the process is suspended and the action has been deferred; False if the caller has to
+            perform the action itself.
         """
--- a/winchspan/simulation/suspension.py
+++ b/winchspan/simulation/suspension.py
@@ -1,7 +1,7 @@
 """Suspends a process, as SIGSTOP or a busy core does, and resumes it as a kernel would.
 
-While the process is suspended, arrivals and due timers wait. When it is resumed, it reads what has arrived
-first; only then its timers fire. What it reads until then may have arrived at any time of the suspension.
+While the process is suspended, arrivals and due callbacks are deferred. After it is resumed, it first reads
+the data that has arrived, which may have arrived at any time of the suspension. Only then its timers fire.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from winchspan.simulation.loop import EmulatedLoop
 
 CAUGHT_UP_TICKS: Final = 4
-"""Ticks in a row with nothing to read, after which a resumed process has caught up."""
+"""Number of consecutive ticks without unread data after which a resumed process has read all arrivals."""
 
 
-class _DueCallback(NamedTuple):
-    """A callback that was due while the process was suspended."""
+class _DeferredCallback(NamedTuple):
+    """A callback that was due while the process was suspended, with its arguments."""
 
     callback: Callable[..., object]
     arguments: tuple[object, ...]
 
 
 class Suspension:
-    """The state of one process that may be suspended.
+    """The suspension state of a process, with its deferred arrivals and callbacks.
 
     Attributes:
         is_active: whether the process is suspended.
@@ -39,14 +39,14 @@
         has_unread_data: Callable[[], bool],
         run_callback: Callable[..., object],
     ) -> None:
-        """Create it for a process that runs.
+        """Create the state of a process that is not suspended.
 
         Args:
-            loop: the virtual time.
-            clock: the machine's.
-            poll_monitor: the process's.
-            has_unread_data: whether anything is left to read.
-            run_callback: runs a callback with its arguments, as the process's loop does.
+            loop: the event loop in virtual time.
+            clock: the clock of the machine.
+            poll_monitor: the poll monitor of the process.
+            has_unread_data: returns whether the process has unread data or connections to accept.
+            run_callback: runs a callback with its arguments in the process.
         """
         self.is_active = False
         self._loop = loop
@@ -54,49 +54,49 @@
         self._poll_monitor = poll_monitor
         self._has_unread_data = has_unread_data
         self._run_callback = run_callback
-        self._since_ms = 0.0
-        self._arrivals: list[Callable[[], None]] = []
-        self._due: list[_DueCallback] = []
+        self._suspended_since_ms = 0.0
+        self._deferred_arrivals: list[Callable[[], None]] = []
+        self._deferred_callbacks: list[_DeferredCallback] = []
 
     def begin(self) -> None:
         """Suspend the process, if it is not suspended."""
         if not self.is_active:
             self.is_active = True
-            self._since_ms = self._clock.now()
+            self._suspended_since_ms = self._clock.now()
 
     def end(self) -> None:
         """Resume the process, if it is suspended."""
         if not self.is_active:
             return
         self.is_active = False
-        self._poll_monitor.received_after_ms = self._since_ms
+        self._poll_monitor.received_after_ms = self._suspended_since_ms
         if self._poll_monitor.after_poll is not None:
             self._poll_monitor.after_poll()
-        arrivals = self._arrivals
-        self._arrivals = []
+        arrivals = self._deferred_arrivals
+        self._deferred_arrivals = []
         for action in arrivals:
             self._loop.call_soon(action)
         self._catch_up(CAUGHT_UP_TICKS)
 
     def defer_arrival(self, action: Callable[[], None]) -> None:
-        """Handle an arrival as soon as the process is resumed."""
-        self._arrivals.append(action)
+        """Defer the handling of an arrival until the process is resumed."""
+        self._deferred_arrivals.append(action)
 
     def defer_callback(self, callback: Callable[..., object], arguments: tuple[object, ...]) -> None:
-        """Call back once the resumed process has read what has arrived."""
-        self._due.append(_DueCallback(callback, arguments))
+        """Defer a callback until the resumed process has read all arrivals."""
+        self._deferred_callbacks.append(_DeferredCallback(callback, arguments))
 
     def _catch_up(self, ticks_left: int) -> None:
-        """Check in each tick whether anything is left to read; once nothing is, run what was due."""
+        """Check in each tick for unread data; once there is none, run the deferred callbacks."""
         if self.is_active:
-            return  # the next suspension has begun
+            return  # the process is suspended again
         has_unread_data = self._has_unread_data()
         if has_unread_data or ticks_left > 1:
             ticks_left = CAUGHT_UP_TICKS if has_unread_data else ticks_left - 1
             self._loop.call_soon(self._catch_up, ticks_left)
             return
         self._poll_monitor.received_after_ms = float("inf")
-        due = self._due
-        self._due = []
-        for one in due:
-            self._loop.call_soon(self._run_callback, one.callback, one.arguments)
+        deferred_callbacks = self._deferred_callbacks
+        self._deferred_callbacks = []
+        for deferred in deferred_callbacks:
+            self._loop.call_soon(self._run_callback, deferred.callback, deferred.arguments)
--- a/winchspan/simulation/system.py
+++ b/winchspan/simulation/system.py
@@ -1,4 +1,4 @@
-"""An emulated machine as the operating system of a courier."""
+"""The operating system interface of a courier on an emulated machine."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 
 class EmulatedSystem(System):
-    """What one incarnation of a courier uses of its machine."""
+    """The operating system as seen by one incarnation of a courier."""
 
     def __init__(self, machine: Machine, incarnation: Incarnation, config_path: Path) -> None:
-        """Create it.
+        """Create the interface.
 
         Args:
             machine: the machine.
-            incarnation: who uses it.
-            config_path: the file of the platform's configuration, which the environment names.
+            incarnation: the process that uses it.
+            config_path: path of the platform's configuration, for the environment variable `ROUTER_CONFIG`.
         """
         super().__init__(machine.clock, {"ROUTER_CONFIG": str(config_path)})
         self.poll_monitor = incarnation.poll_monitor
@@ -43,7 +43,7 @@
     def _create_archiver(
         self, values: Mapping[str, Any], settings: Settings, clock: Clock, call_soon: object
     ) -> InlineArchiver:
-        """Create an archiver in virtual time, whose store is closed when the incarnation ends."""
+        """Create an archiver in virtual time that is stopped when the incarnation ends."""
         incarnation = self._incarnation
         archiver = InlineArchiver(
             lambda delay_ms, callback: incarnation.call_later(delay_ms / MS_PER_SECOND, callback),
@@ -56,12 +56,12 @@
         return archiver
 
     def lock_directory(self, directory: Path) -> bool:
-        """Return True: a machine runs one program at a time."""
+        """Return True: a machine runs one program at a time, so no other process can hold the lock."""
         return True
 
     def adopt_connection(self, descriptor: int) -> ConnectionEnd:  # type: ignore[override]  # not a socket
         """Return a connection of the emulated network."""
-        return self._network.end_of_descriptor(descriptor)
+        return self._network.find_connection_end(descriptor)
 
     def listen(self, host: str, port: int) -> EmulatedListener:
         """Listen on the emulated network."""
@@ -74,9 +74,9 @@
         return self._incarnation.bind(port)
 
     def random_token(self) -> bytes:
-        """Return 16 bytes that tell this incarnation's connections apart, the same in each run."""
+        """Return 16 random bytes that identify this incarnation's connections, the same in each run."""
         return self._incarnation.random.randbytes(_TOKEN_BYTES)
 
     def random_nonce(self) -> int:
-        """Return a number that distinguishes this incarnation from others, the same in each run."""
+        """Return a random number that distinguishes this incarnation from others, the same in each run."""
         return self._incarnation.random.randrange(1, _NONCE_LIMIT)
--- a/winchspan/simulation/trace.py
+++ b/winchspan/simulation/trace.py
@@ -1,4 +1,4 @@
-"""A hash of everything that crosses the emulated network: two runs with the same hash were the same."""
+"""A hash of all traffic on the emulated network: runs with the same hash had the same traffic."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class Side(IntEnum):
-    """An end of a connection."""
+    """A side of a connection."""
 
     CLIENT = 0
     SERVER = 1
 
 
 class ArrivalKind(IntEnum):
-    """What arrives at an end of a connection. It is recorded together with the side."""
+    """The kind of an arrival at a connection's end, which the trace records together with the side."""
 
     DATA = 0
     END_OF_STREAM = 1
@@ -28,11 +28,11 @@
 
 
 class NetworkTrace:
-    """Hashes each arrival with its time, connection, direction and bytes.
+    """Hashes each event with its time, connection or port, direction and bytes.
 
     Attributes:
-        event_count: the arrivals so far.
-        byte_count: the bytes that have arrived so far.
+        event_count: number of recorded events.
+        byte_count: number of bytes that have arrived.
     """
 
     def __init__(self) -> None:
@@ -47,7 +47,7 @@
     def record_arrival(
         self, now_ns: int, descriptor: int, kind: ArrivalKind, data: bytes | bytearray = b""
     ) -> None:
-        """Record an arrival at the end of a connection that has this descriptor."""
+        """Record an arrival at the connection end with this descriptor."""
         side = descriptor & 1
         self._record(now_ns, descriptor >> 1, kind << 1 | side, data)
 
@@ -56,7 +56,7 @@
         self._record(now_ns, port, _DATAGRAM_ARRIVED, data)
 
     def hexdigest(self) -> str:
-        """Return the hash of what has been recorded so far."""
+        """Return the hash of all events recorded so far, in hexadecimal digits."""
         return self._hash.hexdigest()
 
     def _record(self, now_ns: int, number: int, event: int, data: bytes | bytearray) -> None:
--- a/winchspan/standins/__init__.py
+++ b/winchspan/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Keeps `python -m winchspan.standins`, the name under which users know rehearsals with processes."""
+"""Alias package: keeps the command `python -m winchspan.standins` for rehearsals with processes."""
--- a/winchspan/standins/__main__.py
+++ b/winchspan/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Runs `winchspan.fakes`."""
+"""Runs `python -m winchspan.fakes` under its former name."""
 
 import runpy
 
