--- a/tests/compatibility/__init__.py
+++ b/tests/compatibility/__init__.py
@@ -1,1 +1,1 @@
-"""Files, frames and lines that an earlier program wrote, and what made them."""
+"""Samples of files, frames and lines that an earlier program wrote, and the code that wrote them."""
--- a/tests/compatibility/make.py
+++ b/tests/compatibility/make.py
@@ -1,7 +1,7 @@
-"""Records the samples with the program at hand: `python -m tests.compatibility.make [NAME...]`.
+"""Records samples with the present program: `python -m tests.compatibility.make [NAME...]`.
 
-What stands in `recorded/` was written by the program of commit 5bc3544 and is not to be written again: later
-programs must read it. Only what is new is added, with the commit that wrote it, in `README.md`.
+The samples in `recorded/` were written by the program of commit 5bc3544 and must not be written again: later
+programs must read them. Only samples of new formats are added, and `README.md` names the commit of each.
 """
 
 from __future__ import annotations
@@ -22,27 +22,32 @@
 from winchspan.upgrade.hand_over_client import receive_hand_over
 
 RECORDED = Path(__file__).parent / "recorded"
-STORMS = "(storms (on yes) (least-part 2) (pace-calm no) (words no) (recent-keys 100) (destinations 8))"
+OPERATOR_TEXT = (
+    "(storms (on yes) (least-part 2) (pace-calm no) (words no) (recent-keys 100) (destinations 8))"
+)
 
 
 def write_upgrade(folder: Path) -> None:
-    """The state of an upgrade: of a real courier with calls out, a queue, a notice unheard, and clients."""
+    """Record the hand-over state of a courier process.
+
+    It has calls in flight, queued messages, an unacknowledged notification and clients.
+    """
     folder.mkdir(parents=True, exist_ok=True)
-    with TemporaryDirectory() as place:
-        _capture(Path(place), folder)
+    with TemporaryDirectory() as directory:
+        _capture(Path(directory), folder)
 
 
-def _capture(place: Path, folder: Path) -> None:
+def _capture(directory: Path, folder: Path) -> None:
     import socket
 
     partner = _partner()
     listener = socket.create_server(("127.0.0.1", 0))
     os.set_inheritable(listener.fileno(), True)
     port = int(listener.getsockname()[1])
-    operator = place / "operator.sexp"
-    operator.write_text(STORMS)
+    operator = directory / "operator.sexp"
+    operator.write_text(OPERATOR_TEXT)
     courier = harness.start_courier(
-        place, port, partner.server_port, "--operator", str(operator), socket_fd=listener.fileno()
+        directory, port, partner.server_port, "--operator", str(operator), socket_fd=listener.fileno()
     )
     clients: list[socket.socket] = []
     try:
@@ -57,15 +62,15 @@
             harness.send_request(port, encode_submit("gallery-notice", "8", "nobody", deadline_ms=600_000))
             == b"+OK\r\n"
         )
-        harness.wait_for("calls are out", lambda: len(harness.Partner.received) == 3)
-        for name, mine in (("same", program_fingerprint()), ("differs", "another")):
+        harness.wait_for("calls are in flight", lambda: len(harness.Partner.received) == 3)
+        for name, fingerprint in (("same", program_fingerprint()), ("differs", "another")):
             clients.append(socket.create_connection(("127.0.0.1", port)))
             clients[-1].sendall(b"*1\r\n$4\r\nPING\r\n")
             assert clients[-1].recv(100) == b"+PONG\r\n"
             if name == "same":
                 clients.append(socket.create_connection(("127.0.0.1", port)))
                 clients[-1].sendall(b"*1\r\n$4\r\nPI")
-            (folder / f"{name}.state").write_bytes(_state(place / "state", mine))
+            (folder / f"{name}.state").write_bytes(_state(directory / "state", fingerprint))
     finally:
         for client in clients:
             client.close()
@@ -77,15 +82,17 @@
         partner.server_close()
 
 
-def _state(folder: Path, mine: str) -> bytes:
-    read: list[bytes] = []
+def _state(folder: Path, fingerprint: str) -> bytes:
+    received: list[bytes] = []
 
-    def refuse(data: bytes) -> None:
-        read.append(data)
-        raise HandOverError("it was to be recorded only")
+    def reject(data: bytes) -> None:
+        received.append(data)
+        raise HandOverError("the state is only recorded")
 
-    harness.wait_for("the state", lambda: receive_hand_over(folder, mine, refuse) is None and bool(read))
-    return read[0]
+    harness.wait_for(
+        "the state", lambda: receive_hand_over(folder, fingerprint, reject) is None and bool(received)
+    )
+    return received[0]
 
 
 def _partner() -> ThreadingHTTPServer:
@@ -96,7 +103,7 @@
 
 
 def main(names: list[str]) -> None:
-    """Record some samples, or all."""
+    """Record the named samples; all if no name is given."""
     writers = WRITERS | {"upgrade": write_upgrade}
     for name in names or list(writers):
         shutil.rmtree(RECORDED / name, ignore_errors=True)
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -1,7 +1,7 @@
-"""Writes one sample of everything that outlives a process or crosses to another program.
+"""Writes one sample of each format that is stored or sent to another program.
 
-`make.py` recorded the samples with the program of commit 5bc3544. The functions here follow the names of the
-program as they change; what they write must stay the same to the byte (`tests/test_compatibility.py`).
+`make.py` recorded the samples with the program of commit 5bc3544. The functions in this module follow renamed
+names of the program, but must write the same bytes (`tests/test_compatibility.py`).
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from winchspan.adapter import Adapter
 from winchspan.admin.operations import Operations, ServingState
 from winchspan.api import Effect, MessageClass
-from winchspan.cluster import datagram_codec as fleet_link
+from winchspan.cluster import datagram_codec
 from winchspan.cluster import messages as cluster_messages
 from winchspan.cluster.peer_connection import PeerConnection
 from winchspan.cluster.stream_transport import StreamHandlers, StreamTransport, StreamTransportConfig
@@ -36,7 +36,7 @@
     Snapshot,
 )
 from winchspan.consensus.rollback_detection import LoadedState, Promise, StoreProgress
-from winchspan.consensus.store import ConsensusStore as AgreementStore
+from winchspan.consensus.store import ConsensusStore
 from winchspan.control import protocol
 from winchspan.control.command_call import CommandCall, CommandResult, PeerCredentials
 from winchspan.control.commands import build_commands
@@ -83,7 +83,7 @@
     max_attempts=6,
 )
 NOTICE = MessageClass("gallery-notice", 1.0, 2 * SECOND, 5 * SECOND, 0.1, Effect.REPEATABLE)
-STORY: dict[str, Any] = {
+FAILURE_HISTORY: dict[str, Any] = {
     "reason": "out of time",
     "at": NOW + 900.0,
     "attempts": [{"endpoint": "s-1", "at": NOW, "outcome": "error", "took": 12.5, "wait": 0.0}],
@@ -93,8 +93,8 @@
 
 
 # ---- the journal -----------------------------------------------------------------------------------------
-def journal(folder: Path) -> Journal:
-    """A journal in a folder, moored to a clock that stands still."""
+def open_journal(folder: Path) -> Journal:
+    """Open a journal in a folder, anchored to a clock that does not advance."""
     folder.mkdir(parents=True, exist_ok=True)
     found = Journal(folder, LIMIT)
     clock = ManualClock(unix_ms=NOW)
@@ -104,7 +104,7 @@
 
 
 def fill_journal(found: Journal) -> None:
-    """Write every kind of record that a courier writes."""
+    """Write each kind of record that a courier writes."""
     found.record_classes([message_class_to_json(ORDER), message_class_to_json(NOTICE)])
     found.record_disabled_endpoints(["s-1", "s-9"])
     found.record_work_epoch(7)
@@ -119,7 +119,7 @@
     assert found.record_attempt_started([first, fourth], "s-2", "zone-b", NOW + 2.25)
     found.record_classes([message_class_to_json(NOTICE)])
     found.record_notification_pending(second, "returned", 1_500)
-    found.record_notification_pending(third, "failed", 0, STORY)
+    found.record_notification_pending(third, "failed", 0, FAILURE_HISTORY)
     found.record_completed([fifth])
     entry = JournalEntry(
         99,
@@ -137,39 +137,41 @@
         "zone-d",
     )
     assert found.take_over(entry, "courier-b", 12) is not None
-    for number in range(40):  # what is over, so that the next start writes the file anew
+    for number in range(40):  # completed messages: the next start rewrites the file
         found.record_completed(
             [found.accept(f"over-{number}", "gallery-notice", None, 8, NOW, "", b"x" * 100)]
         )
 
 
-def files(folder: Path) -> dict[str, bytes]:
-    """The files of a folder, by name."""
+def read_files(folder: Path) -> dict[str, bytes]:
+    """Return the content of the files of a folder, by name."""
     return {path.name: path.read_bytes() for path in sorted(folder.iterdir())}
 
 
-def put(folder: Path, content: dict[str, bytes]) -> None:
-    """Make a folder of files."""
+def write_files(folder: Path, content: dict[str, bytes]) -> None:
+    """Create a folder with files."""
     folder.mkdir(parents=True, exist_ok=True)
     for name, data in content.items():
         (folder / name).write_bytes(data)
 
 
 def write_journals(folder: Path) -> None:
-    """A journal with every kind of record, torn, and in each state of being written anew."""
-    found = journal(folder / "every-kind")
+    """Write journals with each kind of record, with a torn tail, and in each state of a rewrite."""
+    found = open_journal(folder / "every-kind")
     fill_journal(found)
     found.close()
-    plain = files(folder / "every-kind")["messages.journal"]
-    put(folder / "anew", {"messages.journal": plain})
-    journal(folder / "anew").close()
-    anew = files(folder / "anew")["messages.journal.2"]
-    put(folder / "torn", {"messages.journal": plain[:-7]})
-    put(folder / "broken", {"messages.journal": plain[:-3] + b"\x00" + plain[-2:]})
-    put(folder / "half-written", {"messages.journal": plain, "messages.journal.2": anew[: len(anew) // 2]})
-    put(folder / "without-its-mark", {"messages.journal": plain, "messages.journal.2": anew[:-20]})
-    put(folder / "both-complete", {"messages.journal": plain, "messages.journal.2": anew})
-    put(
+    plain = read_files(folder / "every-kind")["messages.journal"]
+    write_files(folder / "anew", {"messages.journal": plain})
+    open_journal(folder / "anew").close()
+    anew = read_files(folder / "anew")["messages.journal.2"]
+    write_files(folder / "torn", {"messages.journal": plain[:-7]})
+    write_files(folder / "broken", {"messages.journal": plain[:-3] + b"\x00" + plain[-2:]})
+    write_files(
+        folder / "half-written", {"messages.journal": plain, "messages.journal.2": anew[: len(anew) // 2]}
+    )
+    write_files(folder / "without-its-mark", {"messages.journal": plain, "messages.journal.2": anew[:-20]})
+    write_files(folder / "both-complete", {"messages.journal": plain, "messages.journal.2": anew})
+    write_files(
         folder / "left-over",
         {
             "messages.journal": plain,
@@ -177,8 +179,8 @@
             "messages.journal.new": b"an earlier version's",
         },
     )
-    put(folder / "twice", {"messages.journal.2": anew})
-    found = journal(folder / "twice")
+    write_files(folder / "twice", {"messages.journal.2": anew})
+    found = open_journal(folder / "twice")
     for number in range(700):
         found.record_completed(
             [found.accept(f"more-{number}", "gallery-notice", None, 8, NOW, "", b"x" * 100)]
@@ -186,12 +188,12 @@
     found.close()
 
 
-# ---- the store of the agreement --------------------------------------------------------------------------
+# ---- the consensus store ---------------------------------------------------------------------------------
 MEMBERS = frozenset({"n0#beef", "n1#2", "n2#3"})
 
 
-def entries() -> list[LogEntry]:
-    """Entries of each kind, with each kind of command."""
+def log_entries() -> list[LogEntry]:
+    """Return log entries of each kind, with each kind of command."""
     return [
         LogEntry(1, 1, EntryKind.MEMBERS, b"", MEMBERS),
         LogEntry(2, 1, EntryKind.NO_OP),
@@ -204,45 +206,45 @@
 
 
 def lease_table() -> LeaseTable:
-    """What those entries come to."""
+    """Return the lease table after these entries."""
     found = LeaseTable()
-    for entry in entries():
+    for entry in log_entries():
         found.apply(entry.index, entry.data)
     return found
 
 
-def fill_agreement(store: AgreementStore) -> None:
-    """Terms, votes, entries, entries taken back, and a snapshot."""
+def fill_consensus_store(store: ConsensusStore) -> None:
+    """Persist terms, votes, entries, overwritten entries and a snapshot."""
     assert store.persist(PersistState(1, "n1#2"))
-    assert store.persist(PersistState(1, "n1#2", 0, tuple(entries()[:4])))
-    assert store.persist(PersistState(2, "", 4, tuple(entries()[3:])))
+    assert store.persist(PersistState(1, "n1#2", 0, tuple(log_entries()[:4])))
+    assert store.persist(PersistState(2, "", 4, tuple(log_entries()[3:])))
     assert store.persist(
         PersistState(2, "n0#beef", 0, (), Snapshot(5, 1, MEMBERS, lease_table().encode_snapshot()))
     )
     assert store.persist(PersistState(3, "n0#beef", 0, (LogEntry(8, 3, EntryKind.COMMAND, b"\x00\xff"),)))
 
 
-def write_agreement(folder: Path) -> None:
-    """The store of the agreement as it is written, written anew, and torn."""
+def write_consensus_store(folder: Path) -> None:
+    """Write consensus stores: as written, rewritten, and with a torn tail."""
     for name in ("plain", "anew"):
         (folder / name).mkdir(parents=True)
-        store = AgreementStore(folder / name, "n0", 0xBEEF, limit_bytes=6_000 if name == "anew" else LIMIT)
-        fill_agreement(store)
+        store = ConsensusStore(folder / name, "n0", 0xBEEF, limit_bytes=6_000 if name == "anew" else LIMIT)
+        fill_consensus_store(store)
         for number in range(70 if name == "anew" else 0):
             assert store.persist(PersistState(4 + number, "", 0, ()))
         store.close()
-    plain = files(folder / "plain")["agreement.log"]
-    put(folder / "torn", {"agreement.log": plain[:-5]})
+    plain = read_files(folder / "plain")["agreement.log"]
+    write_files(folder / "torn", {"agreement.log": plain[:-5]})
 
 
-# ---- copies of another's work ----------------------------------------------------------------------------
+# ---- replicas --------------------------------------------------------------------------------------------
 def owner_records() -> list[bytes]:
-    """Records of an owner's journal, as they cross to who holds its copy."""
+    """Return the records of an owner's journal, as they are sent to its replicas."""
     from tempfile import TemporaryDirectory
 
     with TemporaryDirectory() as folder:
-        found, said = Journal(Path(folder), LIMIT), list[bytes]()
-        found.on_records_written = said.append
+        found, written = Journal(Path(folder), LIMIT), list[bytes]()
+        found.on_records_written = written.append
         found.record_classes([message_class_to_json(ORDER)])
         first = found.accept("c1", "order-payment", 3, 7, NOW + 24_000.0, "token-c", b"copied")
         found.accept("c2", "order-payment", 3, 7, NOW + 24_000.0, "token-d", b"also")
@@ -251,7 +253,7 @@
         found.record_attempt_ended([first], may_have_executed=True)
         found.close()
     pieces = []
-    for data in said:
+    for data in written:
         at = 0
         for _, _, size in iterate_records(data):
             pieces.append(data[at : at + size])
@@ -260,7 +262,7 @@
 
 
 def write_replicas(folder: Path) -> None:
-    """Copies of two owners' work, one of them torn."""
+    """Write the replicas of two owners, one with a torn tail."""
     library = ReplicaStore(folder, LIMIT, Disk())
     pieces = owner_records()
     assert library.persist(PersistEpoch("courier-b", 3))
@@ -274,10 +276,10 @@
         path.write_bytes(path.read_bytes() + pieces[0][:9])
 
 
-# ---- undelivered messages --------------------------------------------------------------------------------
-def kept() -> list[dead.DeadLetter]:
-    """Messages in each state."""
-    story = failure_history_from_json(STORY)
+# ---- dead letters ----------------------------------------------------------------------------------------
+def dead_letters() -> list[dead.DeadLetter]:
+    """Return dead letters in each state."""
+    history = failure_history_from_json(FAILURE_HISTORY)
     first = dead.DeadLetter(
         "a1",
         NOW + 5_000.0,
@@ -287,7 +289,7 @@
         "token-1",
         b"\x00body",
         "failed",
-        story,
+        history,
         dead.ExecutionEvidence.MAY_HAVE_RUN,
         "an attempt was reset",
         NOW - 10.0,
@@ -338,8 +340,8 @@
 
 
 def fill_store(store: DeadLetterStore) -> None:
-    """Messages, and more acts of operators than the audit log keeps."""
-    store.add(kept(), NOW)
+    """Add dead letters, and more operator actions than the audit log holds."""
+    store.add(dead_letters(), NOW)
     store.add(
         [
             dead.DeadLetter(
@@ -378,7 +380,7 @@
 
 
 def write_store(folder: Path) -> None:
-    """The store of undelivered messages with its trail."""
+    """Write a store of dead letters with its audit log."""
     folder.mkdir(parents=True, exist_ok=True)
     store = DeadLetterStore(folder / "undelivered.sqlite", BOUNDS)
     fill_store(store)
@@ -387,7 +389,7 @@
 
 # ---- frames between couriers -----------------------------------------------------------------------------
 def datagrams() -> dict[str, Datagram]:
-    """One datagram of each kind."""
+    """Return one datagram of each kind."""
     updates = tuple(
         MembershipUpdate(
             f"n{state.value}",
@@ -407,26 +409,26 @@
 
 
 @dataclass(frozen=True)
-class Spoken:
-    """A message between couriers, and how its body is written and read."""
+class EncodableMessage:
+    """A message between couriers, with the functions that encode and decode its body."""
 
     message: Any
-    write: Callable[[Any], bytes]
-    read: Callable[[bytes], Any]
+    encode: Callable[[Any], bytes]
+    decode: Callable[[bytes], Any]
 
 
-def _plain(kind: str, message: Any) -> Spoken:
-    """A message that needs no envelope."""
+def _plain(kind: str, message: Any) -> EncodableMessage:
+    """Return a message that is sent without an envelope."""
     assert cluster_messages.PLAIN_KINDS[type(message)] == kind
     decoder = msgspec.msgpack.Decoder(type(message))
-    return Spoken(message, lambda what: cluster_messages.encode(what)[1], decoder.decode)
+    return EncodableMessage(message, lambda value: cluster_messages.encode(value)[1], decoder.decode)
 
 
-def _agreed(message: Any) -> Spoken:
-    """A message of the agreement or of leases, in its envelope."""
+def _enveloped(message: Any) -> EncodableMessage:
+    """Return a message of the consensus or of leases, which is sent in an envelope."""
 
-    def write(what: Any) -> bytes:
-        return cluster_messages.encode_envelope("n0#beef", "n1#2", what)[1]
+    def write(value: Any) -> bytes:
+        return cluster_messages.encode_envelope("n0#beef", "n1#2", value)[1]
 
     def read(body: bytes) -> Any:
         envelope = cluster_messages.decode_envelope(body)
@@ -434,11 +436,11 @@
         kind = cluster_messages.ENVELOPED_KINDS[type(message)]
         return cluster_messages.decode_enveloped(kind, envelope)
 
-    return Spoken(message, write, read)
+    return EncodableMessage(message, write, read)
 
 
 def announcement_with_promise() -> cluster_messages.NodeAnnouncement:
-    """An announcement that tells what its process has loaded, and what the receiver has promised."""
+    """Return an announcement with the loaded state of its process and the promise of its receiver."""
     announcement = cluster_messages.NodeAnnouncement("n0#beef", False, incarnation=77, term=5, last_index=8)
     announcement.known_progress = ("n1#2", StoreProgress(2, 78, 4, 5, 6))
     announcement.loaded_state = LoadedState(4, "n1#2", 7)
@@ -446,13 +448,13 @@
     return announcement
 
 
-def spoken() -> dict[str, Spoken]:
-    """One message of each kind that crosses a connection between couriers."""
+def peer_messages() -> dict[str, EncodableMessage]:
+    """Return one message of each kind that is sent over a connection between couriers."""
     duties = (("probes-1", 4), ("work-n0", 9))
     agreed: dict[str, Any] = {
         "vote-wish": RequestVote(5, 8, 3, True),
         "vote": RequestVoteReply(5, True, False),
-        "append": AppendEntries(5, 7, 3, tuple(entries()), 6, 44),
+        "append": AppendEntries(5, 7, 3, tuple(log_entries()), 6, 44),
         "appended": AppendEntriesReply(5, True, 8, 44),
         "install": InstallSnapshot(5, Snapshot(5, 1, MEMBERS, lease_table().encode_snapshot()), 45),
         "ask": leases.RenewLeases("n0", 77, 3, duties),
@@ -476,7 +478,7 @@
         8,
         ("n1#2", StoreProgress(2, 78, 4, 5, 6)),
     )
-    ledger_entry = AssignRole("work-n0", "n0", 77, 0).encode()
+    lease_entry = AssignRole("work-n0", "n0", 77, 0).encode()
     pieces = tuple(owner_records()[:2])
     mark = b"t" + bytes(range(8))
     copied: dict[str, Any] = {
@@ -527,8 +529,8 @@
     }
     return {
         "here": _plain("here", here),
-        "agree": _plain("agree", ledger_entry),
-        **{kind: _agreed(message) for kind, message in agreed.items()},
+        "agree": _plain("agree", lease_entry),
+        **{kind: _enveloped(message) for kind, message in agreed.items()},
         **{kind: _plain(kind, message) for kind, message in copied.items()},
         **{kind: _plain(kind, message) for kind, message in claimed.items()},
         **{kind: _plain(kind, message) for kind, message in probed.items()},
@@ -542,8 +544,8 @@
 }
 
 
-class Wire:
-    """The transport of one end of a connection that the tests carry; keeps what was written."""
+class RecordingTransport:
+    """The transport of one end of a connection in memory; records the written bytes."""
 
     def __init__(self) -> None:
         self.written: list[bytes] = []
@@ -558,28 +560,28 @@
         return 0
 
     def abort(self) -> None:
-        raise AssertionError("the connection was cut")
+        raise AssertionError("the connection was aborted")
 
 
-def end(
-    name: str, dialled: str, secret: bytes, got: list[tuple[str, str, bytes]]
-) -> tuple[PeerConnection, Wire]:
-    """One end of a connection between `n0`, which dials, and `n1`."""
+def make_end(
+    name: str, dialled_peer: str, secret: bytes, received: list[tuple[str, str, bytes]]
+) -> tuple[PeerConnection, RecordingTransport]:
+    """Return one end of a connection from `n0` to `n1`, and its transport."""
     members = {"n0": Address("127.0.0.1", 1), "n1": Address("127.0.0.1", 2)}
     token = name.encode() * 8
     streams = StreamTransport(
         StreamTransportConfig(name, members, secret),
-        StreamHandlers(lambda *found: got.append(found), lambda who: None),
+        StreamHandlers(lambda *message: received.append(message), lambda peer_name: None),
         lambda ms, call: None,
         lambda: token,
     )
-    peer, wire = PeerConnection(streams, dialled), Wire()
+    peer, wire = PeerConnection(streams, dialled_peer), RecordingTransport()
     peer._transport = wire  # type: ignore[assignment]
     return peer, wire
 
 
 def feed(peer: PeerConnection, data: bytes) -> None:
-    """Let an end read some bytes."""
+    """Pass bytes to an end of a connection."""
     while data:
         space = peer.get_buffer(-1)
         piece, data = data[: len(space)], data[len(space) :]
@@ -588,38 +590,41 @@
         peer.buffer_updated(len(piece))
 
 
-def dialogue(secret: bytes) -> dict[str, list[bytes]]:
-    """What both ends of a connection write: who they are, and one frame of each kind from `n0`."""
-    (mine, my_wire), (theirs, their_wire) = end("n0", "n1", secret, []), end("n1", "", secret, [])
+def record_connection(secret: bytes) -> dict[str, list[bytes]]:
+    """Return the writes of both ends of a connection: the handshake, and one frame of each kind from `n0`."""
+    (mine, my_wire), (theirs, their_wire) = (
+        make_end("n0", "n1", secret, []),
+        make_end("n1", "", secret, []),
+    )
     mine._send_hello("n1")
     feed(theirs, my_wire.written[0])
     feed(mine, their_wire.written[0])
     feed(theirs, my_wire.written[1])
-    for kind, one in spoken().items():
-        assert mine.send(kind, one.write(one.message))
+    for kind, one in peer_messages().items():
+        assert mine.send(kind, one.encode(one.message))
     return {"n0": my_wire.written, "n1": their_wire.written}
 
 
 def write_frames(folder: Path) -> None:
-    """Datagrams, bodies by kind, and connections, with and without a secret; all as hexadecimal digits."""
+    """Write datagrams, bodies by kind, and connections with and without a secret, as hexadecimal digits."""
     folder.mkdir(parents=True, exist_ok=True)
     found: dict[str, Any] = {}
     for title, secret in (("plain", b""), ("signed", SECRET)):
         found[title] = {
             "datagrams": {
-                kind: fleet_link.encode_datagram(one, secret).hex() for kind, one in datagrams().items()
+                kind: datagram_codec.encode_datagram(one, secret).hex() for kind, one in datagrams().items()
             },
             "connection": {
-                who: [frame.hex() for frame in frames] for who, frames in dialogue(secret).items()
+                name: [frame.hex() for frame in frames] for name, frames in record_connection(secret).items()
             },
         }
-    found["bodies"] = {kind: one.write(one.message).hex() for kind, one in spoken().items()}
+    found["bodies"] = {kind: one.encode(one.message).hex() for kind, one in peer_messages().items()}
     (folder / "frames.json").write_text(json.dumps(found, indent=1) + "\n")
 
 
-# ---- what operators and tools read -----------------------------------------------------------------------
-def figures() -> Metrics:
-    """Figures after some messages."""
+# ---- formats that operators and tools read ---------------------------------------------------------------
+def sample_metrics() -> Metrics:
+    """Return metrics after some messages."""
     found = Metrics(["order-payment", "gallery-notice"])
     for ending, cls, count in (
         ("answered", "order-payment", 5),
@@ -633,8 +638,8 @@
     return found
 
 
-class Rig:
-    """What the commands of the control socket are asked of."""
+class ControlledCourier:
+    """The courier that executes the commands of the control socket."""
 
     is_out_of_service = False
 
@@ -663,8 +668,8 @@
         on_result(operation(self.store))
 
 
-def asked() -> list[tuple[str, dict[str, Any]]]:
-    """Each command with arguments, and some that are refused."""
+def control_commands() -> list[tuple[str, dict[str, Any]]]:
+    """Return each command with arguments, and some rejected commands."""
     return [
         ("ready", {}),
         ("counters", {}),
@@ -692,12 +697,12 @@
 
 
 def replies(store: DeadLetterStore) -> list[dict[str, Any]]:
-    """What each command is answered, as a frame and as JSON."""
-    rig = Rig(store)
+    """Return the request and reply frames of each command."""
+    courier = ControlledCourier(store)
     clock = ManualClock(unix_ms=NOW)
-    lines = figures()
+    lines = sample_metrics()
     operations = Operations(
-        rig, rig, lambda: lines.render("courier", {"current": 3}), lambda: ServingState.SERVING
+        courier, courier, lambda: lines.render("courier", {"current": 3}), lambda: ServingState.SERVING
     )
     rule = RedeliveryRule(
         "rule",
@@ -720,13 +725,13 @@
         def status(self) -> dict[str, Any]:
             return {}
 
-    offered = build_commands(Courier(), rig, clock, context, operations)
+    handlers = build_commands(Courier(), courier, clock, context, operations)
     found: list[dict[str, Any]] = []
-    for number, (command, args) in enumerate(asked()):
-        told: list[CommandResult] = []
+    for number, (command, args) in enumerate(control_commands()):
+        results: list[CommandResult] = []
         request = protocol.Request(protocol.PROTOCOL_VERSION, number, command, args)
-        offered[command](CommandCall(args, PeerCredentials(1, 0), told.append))
-        ((data, error),) = told
+        handlers[command](CommandCall(args, PeerCredentials(1, 0), results.append))
+        ((data, error),) = results
         reply = protocol.Reply(number, data, error)
         found.append(
             {
@@ -738,7 +743,7 @@
 
 
 def write_control(folder: Path) -> None:
-    """Requests and replies of the control socket."""
+    """Write requests and replies of the control socket."""
     from tempfile import TemporaryDirectory
 
     folder.mkdir(parents=True, exist_ok=True)
@@ -751,14 +756,14 @@
 
 
 def write_metrics(folder: Path) -> None:
-    """The metrics' text of a courier, and of members of an emulated fleet."""
+    """Write the metrics of a courier, and the metrics and status of the members of an emulated fleet."""
     from tempfile import TemporaryDirectory
 
     from winchspan.simulation.cluster import EmulatedFleet, FleetOptions
 
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "courier.txt").write_text(
-        figures().render("courier", {"current": 3, "cluster_size": 4, "cluster_unhealthy": 1})
+        sample_metrics().render("courier", {"current": 3, "cluster_size": 4, "cluster_unhealthy": 1})
     )
     with TemporaryDirectory() as place:
         fleet = EmulatedFleet(
@@ -779,7 +784,7 @@
 
 
 def write_simulator(folder: Path) -> None:
-    """Lines of the simulator, and the lines that answer them."""
+    """Write lines of the simulator and the replies to them."""
     folder.mkdir(parents=True, exist_ok=True)
     adapter, rows = Adapter(), list[dict[str, str]]()
     step = 5_000_000
@@ -833,7 +838,7 @@
 
 WRITERS: dict[str, Callable[[Path], None]] = {
     "journal": write_journals,
-    "agreement": write_agreement,
+    "agreement": write_consensus_store,
     "replicas": write_replicas,
     "store": write_store,
     "frames": write_frames,
--- a/tests/test_cli_commands.py
+++ b/tests/test_cli_commands.py
@@ -1,4 +1,4 @@
-"""The command line against a running courier, over its control socket."""
+"""Tests of the command line against a running courier, over its control socket."""
 
 from __future__ import annotations
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -1,4 +1,4 @@
-"""Everything that an earlier program wrote is read with its full content, and is written the same today."""
+"""The recorded samples of an earlier program are read completely, and the same input gives the same bytes."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 from tests.compatibility import samples
 from tests.compatibility.make import RECORDED
-from tests.compatibility.samples import LIMIT, MEMBERS, NOW, SECRET, STORY
+from tests.compatibility.samples import FAILURE_HISTORY, LIMIT, MEMBERS, NOW, SECRET
 from winchspan import api
-from winchspan.cluster import datagram_codec as fleet_link
+from winchspan.cluster import datagram_codec
 from winchspan.cluster import messages as cluster_messages
 from winchspan.config.settings import message_class_to_json
 from winchspan.consensus.messages import EntryKind, LogEntry, PersistentState, Snapshot
-from winchspan.consensus.store import ConsensusStore as AgreementStore
+from winchspan.consensus.store import ConsensusStore
 from winchspan.dead_letters.filters import DeadLetterFilter
 from winchspan.dead_letters.store import DeadLetterStore
 from winchspan.delivery.engine import DeliveryEngine
@@ -41,17 +41,17 @@
 
 from .delivery_world import FakeTransport
 
-WRITTEN_ALIKE = sorted(samples.WRITERS.keys() - {"store"})
+REWRITABLE_SAMPLES = sorted(samples.WRITERS.keys() - {"store"})
 
 
 def recorded(name: str, tmp_path: Path) -> Path:
-    """A copy of recorded files, for a program that changes them."""
+    """Copy recorded files, so that the program may change them."""
     shutil.copytree(RECORDED / name, tmp_path / "recorded")
     return tmp_path / "recorded"
 
 
 def content(folder: Path) -> dict[str, bytes]:
-    """All files below a folder."""
+    """Return the content of all files below a folder, by path."""
     return {
         str(path.relative_to(folder)): path.read_bytes()
         for path in sorted(folder.rglob("*"))
@@ -59,7 +59,7 @@
     }
 
 
-@pytest.mark.parametrize("name", WRITTEN_ALIKE)
+@pytest.mark.parametrize("name", REWRITABLE_SAMPLES)
 def test_the_same_input_gives_the_recorded_bytes(name: str, tmp_path: Path):
     samples.WRITERS[name](tmp_path / name)
     written, before = content(tmp_path / name), content(RECORDED / name)
@@ -121,7 +121,7 @@
         "failed",
         0,
         41,
-        STORY,
+        FAILURE_HISTORY,
         class_table=1,
     ),
     JournalEntry(
@@ -164,7 +164,7 @@
 
 
 def entries(journal: Journal) -> list[JournalEntry]:
-    """The open messages, but for what the program counts of their bytes."""
+    """Return the open messages, without the size that the program computes."""
     return [replace(entry, size_bytes=0) for entry in journal.open_messages]
 
 
@@ -180,7 +180,7 @@
         ("twice", None),
     ],
 )
-def test_a_journal_is_read_in_each_state_of_being_written_anew(name: str, file: str | None, tmp_path: Path):
+def test_journal_is_read_in_each_state_of_a_rewrite(name: str, file: str | None, tmp_path: Path):
     folder = recorded(f"journal/{name}", tmp_path)
     journal = Journal(folder, LIMIT)
     assert entries(journal) == ENTRIES
@@ -193,16 +193,14 @@
     clock = ManualClock(unix_ms=NOW + 5_000.0)
     clock.boot_id = samples.BOOT
     journal.anchor_clock(clock)
-    assert clock.persistent_unix_ms() == pytest.approx(NOW), (
-        "the times of this boot go on as they were recorded"
-    )
+    assert clock.persistent_unix_ms() == pytest.approx(NOW), "the recorded times of this boot continue"
     assert journal.accept("next", "gallery-notice", None, 8, NOW, "", b"") > 6
     journal.close()
-    found = [path.name for path in folder.iterdir()]
-    assert len(found) == 1 and (file is None or found == [file])
+    file_names = [path.name for path in folder.iterdir()]
+    assert len(file_names) == 1 and (file is None or file_names == [file])
 
 
-def test_a_torn_tail_is_cut_and_all_before_it_is_read(tmp_path: Path):
+def test_torn_tail_is_truncated_and_all_records_before_it_are_read(tmp_path: Path):
     for name in ("torn", "broken"):
         journal = Journal(recorded(f"journal/{name}", tmp_path / name), LIMIT)
         assert [entry.id for entry in journal.open_messages] == ["a1", "a2", "a3", "a4", "b1", "over-39"]
@@ -210,37 +208,41 @@
         journal.close()
 
 
-# ---- the store of the agreement --------------------------------------------------------------------------
-def test_the_store_of_the_agreement_is_read_with_its_snapshot_and_log(tmp_path: Path):
-    ledger = LeaseTable()
+# ---- the consensus store ---------------------------------------------------------------------------------
+def test_consensus_store_is_read_with_its_snapshot_and_log(tmp_path: Path):
+    table = LeaseTable()
     for name, term, last in (("plain", 3, 8), ("anew", 73, 8), ("torn", 2, 7)):
         folder = recorded(f"agreement/{name}", tmp_path / name)
-        store = AgreementStore(folder, "n0", 1)
-        kept = store.state
-        assert (store.member_id, store.start_count, kept.term) == ("n0#beef", 2, term)
-        assert kept.voted_for == ("" if name == "anew" else "n0#beef")
-        assert (kept.snapshot.index, kept.snapshot.term, kept.snapshot.members) == (5, 1, MEMBERS)
-        assert [entry.index for entry in kept.entries] == list(range(6, last + 1))
-        assert kept.entries[0] == LogEntry(6, 1, EntryKind.COMMAND, b'{"done":"n0","epoch":5}')
+        store = ConsensusStore(folder, "n0", 1)
+        loaded = store.state
+        assert (store.member_id, store.start_count, loaded.term) == ("n0#beef", 2, term)
+        assert loaded.voted_for == ("" if name == "anew" else "n0#beef")
+        assert (loaded.snapshot.index, loaded.snapshot.term, loaded.snapshot.members) == (
+            5,
+            1,
+            MEMBERS,
+        )
+        assert [entry.index for entry in loaded.entries] == list(range(6, last + 1))
+        assert loaded.entries[0] == LogEntry(6, 1, EntryKind.COMMAND, b'{"done":"n0","epoch":5}')
         if last == 8:
-            assert kept.entries[-1] == LogEntry(8, 3, EntryKind.COMMAND, b"\x00\xff")
-        assert isinstance(kept, PersistentState) and isinstance(kept.snapshot, Snapshot)
-        ledger.restore(kept.snapshot.data)
+            assert loaded.entries[-1] == LogEntry(8, 3, EntryKind.COMMAND, b"\x00\xff")
+        assert isinstance(loaded, PersistentState) and isinstance(loaded.snapshot, Snapshot)
+        table.restore(loaded.snapshot.data)
         store.close()
-    assert ledger.leases == {"work-n0": Lease("n1", 78, 5)}
-    assert ledger.completed_takeovers == {"n0": 5} and ledger.placements == {
+    assert table.leases == {"work-n0": Lease("n1", 78, 5)}
+    assert table.completed_takeovers == {"n0": 5} and table.placements == {
         "n1": ReplicaPlacement(("n2",), (), 7)
     }
 
 
-# ---- copies ----------------------------------------------------------------------------------------------
-def test_copies_of_others_work_are_read_with_what_was_promised(tmp_path: Path):
-    library = ReplicaStore(recorded("replicas", tmp_path), LIMIT, Disk())
-    assert library.replica_states() == {
+# ---- replicas --------------------------------------------------------------------------------------------
+def test_replicas_are_read_with_their_promised_epochs(tmp_path: Path):
+    replica_store = ReplicaStore(recorded("replicas", tmp_path), LIMIT, Disk())
+    assert replica_store.replica_states() == {
         "courier-b": ReplicaState(3, 3, 7),
         "courier-c": ReplicaState(9, 8, 2),
     }
-    first, second = library.open_messages("courier-b")
+    first, second = replica_store.open_messages("courier-b")
     assert replace(first, size_bytes=0) == JournalEntry(
         1,
         "c1",
@@ -258,19 +260,19 @@
         class_table=1,
     )
     assert (second.id, second.body, second.attempt_count) == ("c2", b"also", 0)
-    book = library.replica("courier-b")
+    replica = replica_store.replica("courier-b")
     assert (
-        book is not None
-        and book.disabled_endpoints == ["s-4"]
-        and book.class_tables == {1: [message_class_to_json(samples.ORDER)]}
+        replica is not None
+        and replica.disabled_endpoints == ["s-4"]
+        and replica.class_tables == {1: [message_class_to_json(samples.ORDER)]}
     )
-    assert [entry.id for entry in library.open_messages("courier-c")] == ["c1"]
-    library.close()
+    assert [entry.id for entry in replica_store.open_messages("courier-c")] == ["c1"]
+    replica_store.close()
 
 
-# ---- undelivered messages --------------------------------------------------------------------------------
+# ---- dead letters ----------------------------------------------------------------------------------------
 def dump(path: Path) -> list[str]:
-    """The schema and all rows of a store."""
+    """Return the schema and all rows of a store."""
     database = sqlite3.connect(path)
     found = list(database.iterdump())
     found += [
@@ -280,12 +282,12 @@
     return found
 
 
-def test_the_store_of_undelivered_messages_is_read_and_written_alike(tmp_path: Path):
+def test_store_of_dead_letters_is_read_and_written_with_the_same_content(tmp_path: Path):
     folder = recorded("store", tmp_path)
     before = dump(folder / "undelivered.sqlite")
     store = DeadLetterStore(folder / "undelivered.sqlite", samples.BOUNDS, read_only=True)
     found = store.find(DeadLetterFilter(), oldest_first=True)
-    expected = [replace(message, number=number) for number, message in enumerate(samples.kept(), 1)]
+    expected = [replace(message, number=number) for number, message in enumerate(samples.dead_letters(), 1)]
     assert found[0] == replace(expected[0], note="note 19")
     assert found[1:-1] == expected[1:] and found[-1].id == "c1"
     page = store.read_audit_log()
@@ -307,44 +309,44 @@
     secret = SECRET if title == "signed" else b""
     rows = frames()[title]["datagrams"]
     assert {
-        kind: fleet_link.decode_datagram(bytes.fromhex(row), secret) for kind, row in rows.items()
+        kind: datagram_codec.decode_datagram(bytes.fromhex(row), secret) for kind, row in rows.items()
     } == samples.datagrams()
 
 
-@pytest.mark.parametrize("kind", sorted(samples.spoken()))
+@pytest.mark.parametrize("kind", sorted(samples.peer_messages()))
 def test_the_body_of_each_frame_is_read(kind: str):
-    one = samples.spoken()[kind]
-    assert one.read(bytes.fromhex(frames()["bodies"][kind])) == one.message
+    sample = samples.peer_messages()[kind]
+    assert sample.decode(bytes.fromhex(frames()["bodies"][kind])) == sample.message
 
 
-def test_announcement_that_tells_of_promises_has_the_recorded_bytes():
+def test_announcement_with_a_promise_has_the_recorded_bytes():
     recorded_body = bytes.fromhex((RECORDED / "announcements" / "promised.hex").read_text())
     announcement = samples.announcement_with_promise()
     assert cluster_messages.encode(announcement) == ("here", recorded_body)
     assert msgspec.msgpack.decode(recorded_body, type=type(announcement)) == announcement
 
 
-def test_every_kind_of_frame_that_is_in_use_is_recorded():
+def test_each_kind_of_frame_in_use_is_recorded():
     assert set(frames()["bodies"]) == samples.KINDS_IN_USE
 
 
 @pytest.mark.parametrize("title", ["plain", "signed"])
-def test_a_recorded_connection_is_taken_up(title: str):
-    secret, said = SECRET if title == "signed" else b"", frames()
-    rows = said[title]["connection"]
+def test_recorded_connection_is_read_by_both_ends(title: str):
+    secret, recorded_frames = SECRET if title == "signed" else b"", frames()
+    rows = recorded_frames[title]["connection"]
     got: list[tuple[str, str, bytes]] = []
-    theirs, _ = samples.end("n1", "", secret, got)
+    theirs, _ = samples.make_end("n1", "", secret, got)
     for frame in rows["n0"]:
         samples.feed(theirs, bytes.fromhex(frame))
-    assert got == [("n0", kind, bytes.fromhex(body)) for kind, body in said["bodies"].items()]
-    mine, _ = samples.end("n0", "n1", secret, [])
+    assert got == [("n0", kind, bytes.fromhex(body)) for kind, body in recorded_frames["bodies"].items()]
+    mine, _ = samples.make_end("n0", "n1", secret, [])
     for frame in rows["n1"]:
         samples.feed(mine, bytes.fromhex(frame))
     assert mine.peer_name == "n1"
 
 
 # ---- the state of an upgrade -----------------------------------------------------------------------------
-def test_the_state_that_another_version_hands_over_is_read():
+def test_state_from_another_version_is_read():
     state = decode_state((RECORDED / "upgrade" / "differs.state").read_bytes())
     assert state == TransferredState(
         is_out_of_service=False,
@@ -356,7 +358,7 @@
     )
 
 
-def test_the_state_that_the_same_decisions_hand_over_is_read_and_gone_on_with(tmp_path: Path):
+def test_state_from_the_same_program_is_read_and_its_messages_are_delivered(tmp_path: Path):
     state = decode_state((RECORDED / "upgrade" / "same.state").read_bytes())
     assert state.clients == [
         (b"*1\r\n$4\r\nPI", False, 0, 1366059.604969),
@@ -365,52 +367,64 @@
     assert state.courier is not None
     calls = state.courier.calls
     assert not state.is_out_of_service and state.courier.idle_connections == [] and list(calls) == [0]
-    (busy,) = state.courier.call_states
-    assert (busy.peer.endpoint_number, busy.unread, busy.response_deadline_ms) == (1, b"", None)
-    assert not busy.is_closing_after_call
-    assert [(one.id, one.idempotency_key, one.body) for one in busy.context.sent_messages] == [
+    (in_flight,) = state.courier.call_states
+    assert (
+        in_flight.peer.endpoint_number,
+        in_flight.unread,
+        in_flight.response_deadline_ms,
+    ) == (1, b"", None)
+    assert not in_flight.is_closing_after_call
+    assert [(one.id, one.idempotency_key, one.body) for one in in_flight.context.sent_messages] == [
         ("c9976ef6b12346aa", "f52129f3b3c09ee2", b"body 0"),
         ("4a2ec10a6a75c8dd", "cdc6ea98bac79111", b"body 1"),
     ]
-    told: list[api.EndpointsUpdated] = []
-    group = EndpointDirectory(told.append)
-    group.import_state(state.courier.endpoint_directory)
-    assert {row.endpoint: (row.destination, row.status) for row in told[0].rows} == {
+    updates: list[api.EndpointsUpdated] = []
+    directory = EndpointDirectory(updates.append)
+    directory.import_state(state.courier.endpoint_directory)
+    assert {row.endpoint: (row.destination, row.status) for row in updates[0].rows} == {
         1: (7, api.EndpointStatus.IN_SERVICE),
         2: (8, api.EndpointStatus.DRAINING),
     }
-    assert group.sequence == 1 and group.knows("s-toy") and group.knows("s-leaving")
+    assert directory.sequence == 1 and directory.knows("s-toy") and directory.knows("s-leaving")
 
-    handed = state.courier.engine
-    clock = ManualClock(handed.scheduler.now / 1e6 + 1.0, NOW)
-    deadlines, turns, journal = TimerQueue(clock), list[Any](), Journal(tmp_path, LIMIT)
-    out, rejoined = FakeTransport(journal, 10), list[Any]()
-    out.serves = lambda dest: True  # type: ignore[method-assign]
+    engine_state = state.courier.engine
+    clock = ManualClock(engine_state.scheduler.now / 1e6 + 1.0, NOW)
+    timers, callbacks, journal = TimerQueue(clock), list[Any](), Journal(tmp_path, LIMIT)
+    transport, rejoined = FakeTransport(journal, 10), list[Any]()
+    transport.serves = lambda dest: True  # type: ignore[method-assign]
     courier = DeliveryEngine(
-        handed.scheduler.settings,
+        engine_state.scheduler.settings,
         1,
-        EnginePorts(clock, deadlines, journal, out, out, turns.append, handed.scheduler.overload_control),
+        EnginePorts(
+            clock,
+            timers,
+            journal,
+            transport,
+            transport,
+            callbacks.append,
+            engine_state.scheduler.overload_control,
+        ),
     )
-    courier.import_state(handed, lambda call, done: rejoined.append((call, done)))
+    courier.import_state(engine_state, lambda call, done: rejoined.append((call, done)))
     assert (courier.held_count, courier.in_flight_count, len(rejoined)) == (7, 1, 1)
     assert rejoined[0][0] is calls[0]
     rejoined[0][1]([AttemptResult(api.Outcome.DELIVERED, is_final=True)] * 2)
-    ended = ["c9976ef6b12346aa", "4a2ec10a6a75c8dd"]
+    delivered = ["c9976ef6b12346aa", "4a2ec10a6a75c8dd"]
     for _ in range(400):
         clock.advance(10)
-        deadlines.run_due()
-        while turns:
-            turns.pop(0)()
-        while out.calls:
-            sent = out.calls.pop()
-            ended += [parcel.id for parcel in sent.messages]
+        timers.run_due()
+        while callbacks:
+            callbacks.pop(0)()
+        while transport.calls:
+            sent = transport.calls.pop()
+            delivered += [message.id for message in sent.messages]
             sent.end(AttemptResult(api.Outcome.DELIVERED, is_final=True))
-    assert ended == [
+    assert delivered == [
         "c9976ef6b12346aa",
         "4a2ec10a6a75c8dd",
         "95479a43cf926c7f",
         "8ea480d283af6a61",
         "42daf855792b1869",
         "2e6e158a3e6f176c",
-    ], "in the order of their keys, each once"
-    assert courier.held_count == 1, "what nobody takes is still held"
+    ], "each message once, in the order of its key"
+    assert courier.held_count == 1, "the message without an endpoint is still held"
--- a/tests/test_consensus_raft.py
+++ b/tests/test_consensus_raft.py
@@ -113,7 +113,7 @@
     assert former_leader.raft is not None
     world.freeze(former_leader.node_id)
     world.run_until(lambda: world.leader() not in (None, former_leader), 10_000.0)
-    former_leader.unread = None  # its socket has lost all messages, so no message tells of the new leader
+    former_leader.unread = None  # its socket has lost all messages, including those of the new leader
     commands = former_leader.raft.tick(world.now)
     assert former_leader.raft.role is not RaftRole.LEADER
     assert not [command for command in commands if isinstance(command, SendMessage)]
--- a/tests/test_consensus_store.py
+++ b/tests/test_consensus_store.py
@@ -34,15 +34,15 @@
 
 
 def test_store_after_restart_holds_what_was_persisted(tmp_path: Path):
-    store, kept = ConsensusStore(tmp_path, "n0", 77), PersistentState()
+    store, expected = ConsensusStore(tmp_path, "n0", 77), PersistentState()
     for command in commands(300):
         assert store.persist(command)
-        kept = apply_persist_state(kept, command)
-    assert store.state == kept and store.member_id == "n0#4d"
+        expected = apply_persist_state(expected, command)
+    assert store.state == expected and store.member_id == "n0#4d"
     store.close()
     again = ConsensusStore(tmp_path, "n0", 99)
-    assert (again.state, again.instance_id) == (kept, 77), (
-        "the instance is the directory's, not the process's"
+    assert (again.state, again.instance_id) == (expected, 77), (
+        "the instance ID identifies the directory, not the process"
     )
     assert sum(path.stat().st_size for path in tmp_path.iterdir()) < 120_000
     again.close()
@@ -77,18 +77,22 @@
 def test_persist_on_full_disk_becomes_backlog_that_is_written_first(tmp_path: Path):
     disk = FillingDisk()
     store = ConsensusStore(tmp_path, "n0", 5, disk)
-    life = commands(6)
-    assert store.persist(life[0])
+    persist_commands = commands(6)
+    assert store.persist(persist_commands[0])
     disk.is_full = True
-    assert not store.persist(life[1]) and not store.persist(life[2]) and store.has_backlog
-    assert store.state == apply_persist_state(PersistentState(), life[0])
+    assert (
+        not store.persist(persist_commands[1])
+        and not store.persist(persist_commands[2])
+        and store.has_backlog
+    )
+    assert store.state == apply_persist_state(PersistentState(), persist_commands[0])
     disk.is_full = False
-    assert store.persist(life[3]) and not store.has_backlog
+    assert store.persist(persist_commands[3]) and not store.has_backlog
     store.close()
-    kept = PersistentState()
-    for command in life[:4]:
-        kept = apply_persist_state(kept, command)
-    assert ConsensusStore(tmp_path, "n0", 6).state == kept
+    expected = PersistentState()
+    for command in persist_commands[:4]:
+        expected = apply_persist_state(expected, command)
+    assert ConsensusStore(tmp_path, "n0", 6).state == expected
 
 
 def test_persist_over_limit_is_rejected_and_keeps_the_log(tmp_path: Path):
@@ -113,35 +117,36 @@
 
 
 def test_rollback_detector_names_what_a_directory_has_lost(tmp_path: Path):
-    lives = []
+    start_counts = []
     for _ in range(3):
         store = ConsensusStore(tmp_path, "n0", 5)
-        lives.append(store.start_count)
+        start_counts.append(store.start_count)
         for command in commands(90):
             assert store.persist(command)
         store.close()
-    assert lives == [1, 2, 3]
-    said = StoreProgress(start=3, life=8, term=6, commit=40, last=44)
-    ages = RollbackDetector()
-    assert ages.record_progress("n0", "n0#5", said) == "" and not ages.is_rolled_back("n0")
-    for less, missing in (
-        (replace(said, start=2), "start 2 of 3"),
-        (replace(said, life=9), "start 3 of 3"),
-        (replace(said, start=4, life=9, term=5), "term 5 of 6"),
-        (replace(said, start=4, life=9, last=39, commit=30), "entry 39 of 40"),
+    assert start_counts == [1, 2, 3]
+    reported = StoreProgress(start=3, life=8, term=6, commit=40, last=44)
+    detector = RollbackDetector()
+    assert detector.record_progress("n0", "n0#5", reported) == "" and not detector.is_rolled_back("n0")
+    for progress, missing in (
+        (replace(reported, start=2), "start 2 of 3"),
+        (replace(reported, life=9), "start 3 of 3"),
+        (replace(reported, start=4, life=9, term=5), "term 5 of 6"),
+        (replace(reported, start=4, life=9, last=39, commit=30), "entry 39 of 40"),
     ):
-        assert ages.record_progress("n0", "n0#5", less) == missing and ages.is_rolled_back("n0")
-    assert ages.record_progress("n0", "n0#5", replace(said, start=4, life=9, commit=0, last=40)) == "", (
-        "a restart"
-    )
-    assert ages.known_progress("n0") == ("n0#5", StoreProgress(4, 9, 6, 40, 40)) and not ages.is_rolled_back(
-        "n0"
-    )
-    assert ages.record_progress("n0", "n0#6", StoreProgress(1, 10, 0, 0, 0)) == "", (
-        "an empty folder is another member"
+        assert detector.record_progress("n0", "n0#5", progress) == missing and detector.is_rolled_back("n0")
+    assert (
+        detector.record_progress("n0", "n0#5", replace(reported, start=4, life=9, commit=0, last=40)) == ""
+    ), "a plain restart is no rollback"
+    assert detector.known_progress("n0") == (
+        "n0#5",
+        StoreProgress(4, 9, 6, 40, 40),
+    ) and not detector.is_rolled_back("n0")
+    assert detector.record_progress("n0", "n0#6", StoreProgress(1, 10, 0, 0, 0)) == "", (
+        "an empty directory is another member"
     )
-    assert ages.record_progress("n0", "n0#6", StoreProgress(0, 11, 0, 0, 0)) == "", (
-        "a version that does not say"
+    assert detector.record_progress("n0", "n0#6", StoreProgress(0, 11, 0, 0, 0)) == "", (
+        "an earlier version, which sends no report"
     )
 
 
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""A real process, a toy partner with discovery, SIGKILL and a second life: each message ends once."""
+"""A courier process with the toy partner: each message ends once, also across SIGKILL and a restart."""
 
 from __future__ import annotations
 
@@ -22,23 +22,33 @@
 from winchspan.fakes.ports import free_ports
 
 ROOT = Path(__file__).parent.parent
-WAIT_TIMEOUT_SECONDS = 60.0  # far more than anything here takes: no verdict hangs on it
+WAIT_TIMEOUT_SECONDS = 60.0  # much longer than any wait takes, so that no result depends on it
 
 
 class Partner(ToyHandler):
-    """The toy, which keeps what it saw and holds some calls until it may answer."""
+    """The toy server, which records calls and notifications, and answers calls once `may_answer` is set.
+
+    Attributes:
+        answered: the ids of the messages in answered calls.
+        received: the ids of the messages in received calls.
+        notified: the ids of the messages in notifications.
+        call_ports: the port that received each call.
+        extra_hosts: further entries of the list of endpoints.
+        notification_ports: the port that received each request with notifications.
+        may_answer: set while calls are answered.
+    """
 
     answered: list[str]
     received: list[str]
     notified: list[str]
-    call_ports: list[int]  # the port at which each call came
-    extra_hosts: list[dict[str, Any]]  # entries of the list, beside the toy's own
-    notification_ports: list[int]  # the port at which each notice came
+    call_ports: list[int]
+    extra_hosts: list[dict[str, Any]]
+    notification_ports: list[int]
     may_answer: threading.Event
 
     def endpoint_list(self) -> bytes:
-        found = json.loads(super().endpoint_list())
-        return json.dumps(found | {"hosts": [*found["hosts"], *self.extra_hosts]}).encode()
+        document = json.loads(super().endpoint_list())
+        return json.dumps(document | {"hosts": [*document["hosts"], *self.extra_hosts]}).encode()
 
     def do_POST(self) -> None:
         body = self.rfile.read(int(self.headers.get("Content-Length", "0")))
@@ -83,10 +93,10 @@
     server.server_close()
 
 
-def wait_for(what: str, check: Any) -> None:
-    end = time.monotonic() + WAIT_TIMEOUT_SECONDS
+def wait_for(description: str, check: Any) -> None:
+    deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
     while not check():
-        assert time.monotonic() < end, what
+        assert time.monotonic() < deadline, description
         time.sleep(0.01)
 
 
@@ -104,7 +114,7 @@
     tmp_path: Path,
     port: int,
     discovery: int,
-    *words: str,
+    *arguments: str,
     socket_fd: int | None = None,
     ready_by: bytes | None = None,
     root: Path = ROOT,
@@ -114,7 +124,9 @@
     data |= {"listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{discovery}"}
     data["state"] = str(tmp_path / "state")
     data["known"] = known or data["known"]
-    for cls in data["settings"]["request_classes"]:  # no pace of the machine may matter here
+    for cls in data["settings"][
+        "request_classes"
+    ]:  # long limits: results do not depend on the speed of the machine
         cls |= {"goal_time_ns": 600 * 10**9, "hard_limit_ns": 1_200 * 10**9, "window_ns": 600 * 10**9}
     (tmp_path / "state").mkdir(exist_ok=True)
     data.pop("admin")
@@ -123,14 +135,14 @@
     if socket_fd is not None:
         env["ROUTER_SOCKET_FD"] = str(socket_fd)
     process = subprocess.Popen(
-        [sys.executable, "-m", "winchspan", *words],
+        [sys.executable, "-m", "winchspan", *arguments],
         cwd=root,
         env=env,
         stderr=(tmp_path / "log").open("ab"),
         pass_fds=[] if socket_fd is None else [socket_fd],
     )
 
-    def ready() -> bool:
+    def is_ready() -> bool:
         assert process.poll() is None, (tmp_path / "log").read_text()
         if ready_by is not None:
             return ready_by in (tmp_path / "log").read_bytes()
@@ -139,7 +151,7 @@
         except OSError:
             return False
 
-    wait_for("ready", ready)
+    wait_for("the courier is ready", is_ready)
     return process
 
 
@@ -156,39 +168,42 @@
         )
         assert send_request(port, encode_submit("no-such-class", "7", "x")).startswith(b"-ERR")
         assert send_request(port, b"nonsense\r\n").startswith(b"-ERR")
-        wait_for("calls are out", lambda: len(Partner.received) == 2)  # one for each key
-        wait_for("the end of what nobody takes", lambda: Partner.notified)
+        wait_for("two calls are in flight", lambda: len(Partner.received) == 2)  # one for each key
+        wait_for("the notification of the message without an endpoint", lambda: Partner.notified)
         courier.kill()
         courier.wait()
         assert not Partner.answered
         Partner.may_answer.set()
         courier = start_courier(tmp_path, port, partner.server_port)
-        wait_for("all delivered", lambda: len(set(Partner.answered)) == 6)
-        assert len(set(Partner.notified)) == 1  # a notice whose answer the kill swallowed comes again
+        wait_for("all messages are delivered", lambda: len(set(Partner.answered)) == 6)
+        assert len(set(Partner.notified)) == 1  # an unacknowledged notification is repeated after the kill
         courier.send_signal(signal.SIGTERM)
         assert courier.wait(WAIT_TIMEOUT_SECONDS) == 0
     finally:
         courier.kill()
         courier.wait()
-    begun = Partner.received[2:]
-    assert sorted(set(begun)) == sorted(begun), "in its second life the courier sends each message once"
-    courier = start_courier(tmp_path, port, partner.server_port)  # nothing is left to do
+    received = Partner.received[2:]
+    assert sorted(set(received)) == sorted(received), "the restarted courier sends each message once"
+    courier = start_courier(tmp_path, port, partner.server_port)  # no message is open
     try:
         assert send_request(port, encode_submit("order-payment", "7", "last")) == b"+OK\r\n"
-        wait_for("the last", lambda: len(Partner.received) == len(begun) + 3)
+        wait_for("the last message is sent", lambda: len(Partner.received) == len(received) + 3)
     finally:
         courier.kill()
         courier.wait()
 
 
-def test_a_start_sends_nothing_to_what_drains_by_discovery_whatever_its_configuration_lists(
+def test_start_sends_nothing_to_an_endpoint_that_drains_by_discovery_though_its_configuration_lists_it(
     tmp_path: Path, partner: ThreadingHTTPServer
 ):
-    """Recovered messages went out by the old list; after a slow start that is later than a drain allows."""
-    port, old = free_port(), serve()
+    """Guards against sending recovered messages by the list of the configuration.
+
+    After a start that takes long, that is later than the drain period allows.
+    """
+    port, draining_server = free_port(), serve()
     entry = {
         "host": "s-old",
-        "dial": f"127.0.0.1:{old.server_port}",
+        "dial": f"127.0.0.1:{draining_server.server_port}",
         "site": "toy",
         "class": "large-host",
         "block": 7,
@@ -202,30 +217,30 @@
             for i in range(6):
                 order = encode_submit("order-payment", "7", f"body {i}", f"{i + 1:016x}", 1_200_000)
                 assert send_request(port, order) == b"+OK\r\n"
-            wait_for("calls are out", lambda: Partner.received)
+            wait_for("calls are in flight", lambda: Partner.received)
         finally:
             courier.kill()
             courier.wait()
-        before, calls = len(Partner.received), len(Partner.call_ports)
+        earlier_messages, earlier_calls = len(Partner.received), len(Partner.call_ports)
         Partner.extra_hosts = [entry | {"health": "draining"}]
         Partner.may_answer.set()
         courier = start_courier(
             tmp_path, port, partner.server_port, known={"seq": 0, "whole": True, "hosts": [entry]}
         )
         try:
-            wait_for("each is sent, what was out once more", lambda: len(set(Partner.received[before:])) == 6)
+            wait_for("each message is sent again", lambda: len(set(Partner.received[earlier_messages:])) == 6)
         finally:
             courier.kill()
             courier.wait()
-        assert set(Partner.call_ports[calls:]) == {partner.server_port}
+        assert set(Partner.call_ports[earlier_calls:]) == {partner.server_port}
     finally:
-        old.shutdown()
-        old.server_close()
+        draining_server.shutdown()
+        draining_server.server_close()
 
 
 @pytest.mark.parametrize("silent", [True, False])
-def test_a_start_does_not_wait_for_a_discovery_that_says_nothing(tmp_path: Path, silent: bool):
-    """Its agent takes the connection and says nothing, or its answer begins and no line follows."""
+def test_start_does_not_wait_for_the_list_of_an_unresponsive_discovery(tmp_path: Path, silent: bool):
+    """Discovery accepts the connection and sends nothing, or only the head of its response."""
     Partner.received, Partner.call_ports, Partner.answered, Partner.extra_hosts = [], [], [], []
     Partner.may_answer = threading.Event()
     Partner.may_answer.set()
@@ -259,7 +274,7 @@
     )
     try:
         assert send_request(port, encode_submit("order-payment", "7", "x", "1" * 16, 1_200_000)) == b"+OK\r\n"
-        wait_for("it is delivered by the list of the configuration", lambda: Partner.answered)
+        wait_for("it is delivered to an endpoint of the configuration", lambda: Partner.answered)
     finally:
         courier.kill()
         courier.wait()
@@ -268,10 +283,13 @@
         server.server_close()
 
 
-def test_the_first_client_has_all_its_time_however_long_the_courier_has_run(
+def test_first_message_has_its_full_deadline_however_long_the_courier_has_run(
     tmp_path: Path, partner: ThreadingHTTPServer
 ):
-    """Its connection was taken for as old as the process, and its message's time for over."""
+    """Guards against counting the first connection's age from the start of the process.
+
+    Its message was considered to be past its deadline.
+    """
     port = free_port()
     courier = start_courier(tmp_path, port, partner.server_port, ready_by=b"listens on")
     try:
@@ -282,9 +300,9 @@
         courier.wait()
 
 
-def test_a_configuration_that_cannot_be_used_ends_the_start_with_one_line(tmp_path: Path):
+def test_invalid_configuration_ends_the_start_with_one_line(tmp_path: Path):
     (tmp_path / "config.json").write_text('{"listen": "127.0.0.1:0"}')
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "winchspan"],
         cwd=ROOT,
         capture_output=True,
@@ -292,13 +310,13 @@
         env=os.environ | {"ROUTER_CONFIG": str(tmp_path / "config.json")},
         check=False,
     )
-    assert done.returncode != 0 and "discovery" in done.stderr and done.stderr.count("\n") == 1
+    assert result.returncode != 0 and "discovery" in result.stderr and result.stderr.count("\n") == 1
 
 
-def test_sighup_moves_to_the_new_discovery_and_a_file_that_cannot_be_used_changes_nothing(
+def test_sighup_moves_to_the_new_discovery_and_an_invalid_file_changes_nothing(
     tmp_path: Path, partner: ThreadingHTTPServer
 ):
-    """SIGHUP had no handler and ended the process."""
+    """Guards against ending the process by SIGHUP, which had no handler."""
     Partner.may_answer.set()
     port, other, path = free_port(), serve(), tmp_path / "config.json"
     courier = start_courier(tmp_path, port, partner.server_port)
@@ -307,23 +325,26 @@
         path.write_text("{")
         courier.send_signal(signal.SIGHUP)
         wait_for(
-            "one log line",
+            "the log line of the invalid file",
             lambda: b"previous configuration stays in force" in (tmp_path / "log").read_bytes(),
         )
         assert (
             send_request(port, encode_submit("gallery-notice", "8", "nobody there", deadline_ms=100))
             == b"+OK\r\n"
         )
-        wait_for("a notice at the old address", lambda: Partner.notification_ports)
+        wait_for("a notification at the old address", lambda: Partner.notification_ports)
         assert Partner.notification_ports == [partner.server_port]
         path.write_text(json.dumps(data | {"discovery": f"127.0.0.1:{other.server_port}"}))
         courier.send_signal(signal.SIGHUP)
-        wait_for("the move", lambda: b"SIGHUP: discovery is at" in (tmp_path / "log").read_bytes())
+        wait_for(
+            "the new discovery is in use",
+            lambda: b"SIGHUP: discovery is at" in (tmp_path / "log").read_bytes(),
+        )
         assert (
             send_request(port, encode_submit("gallery-notice", "8", "nobody there", deadline_ms=100))
             == b"+OK\r\n"
         )
-        wait_for("a notice at the new address", lambda: len(Partner.notification_ports) > 1)
+        wait_for("a notification at the new address", lambda: len(Partner.notification_ports) > 1)
         assert Partner.notification_ports[-1] == other.server_port
     finally:
         courier.kill()
--- a/tests/test_fleet_health_checks.py
+++ b/tests/test_fleet_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks by a fleet of three real couriers with a relay between each two, audited at the endpoints."""
+"""Tests of health checks by three real couriers with relays between them, audited at the endpoints."""
 
 from __future__ import annotations
 
@@ -52,9 +52,9 @@
 
 @pytest.fixture
 def fleet(running_fleet: Fleet, endpoints: ThreadedRecordingEndpoints) -> Iterator[Fleet]:
-    """A fleet of three, each of which checks endpoints; what a test breaks is repaired behind it."""
+    """Provide three couriers that all check endpoints, and repair the faults of the test afterwards."""
     started_at = time.monotonic()
-    running_fleet.wait_until_all_alive("all know each other")
+    running_fleet.wait_until_all_alive("all nodes are alive")
 
     def are_all_checking() -> bool:
         nodes = {check.node for check in checks_since(endpoints, started_at)}
@@ -72,7 +72,7 @@
 def checks_since(
     endpoints: ThreadedRecordingEndpoints, since_seconds: float, endpoint: str = ""
 ) -> list[ObservedHealthCheck]:
-    """Return the health checks since a time, of one endpoint or of all."""
+    """Return the health checks since a time, of one endpoint or of all endpoints."""
     return [
         check
         for check in endpoints.health_checks
@@ -83,13 +83,13 @@
 def are_all_checked(
     endpoints: ThreadedRecordingEndpoints, count: int, since_seconds: float, but: str = ""
 ) -> bool:
-    """Return whether each endpoint, but one, has been checked so often since a time."""
+    """Return whether each endpoint except `but` has been checked at least `count` times since a time."""
     counts = Counter(check.endpoint for check in checks_since(endpoints, since_seconds))
     return all(counts[name] >= count for name in endpoints.ports if name != but)
 
 
 def wait_until_checked_by(endpoints: ThreadedRecordingEndpoints, nodes: Iterable[str]) -> None:
-    """Wait until each endpoint has been checked twice more, the last time by one of some nodes."""
+    """Wait until each endpoint has been checked twice more, most recently by one of the given nodes."""
     expected = set(nodes)
     started_at = time.monotonic()
 
@@ -113,13 +113,13 @@
 
 
 def assert_none_repeated_or_stale(checks: list[ObservedHealthCheck]) -> None:
-    """Assert that no check came too soon, and none under an epoch that a later one had followed."""
+    """Assert that no check was repeated too early or made under an epoch after a later one."""
     audit = audit_health_checks(checks, INTERVAL_SECONDS, 1e9, 0.0)
     assert audit.repeated == [] and audit.stale == []
 
 
 def busiest_node(endpoints: ThreadedRecordingEndpoints) -> str:
-    """Return who has sent the most of the latest health checks."""
+    """Return the node that has sent most of the latest health checks."""
     nodes = [check.node for check in endpoints.health_checks[-48:]]
     return max(NAMES, key=nodes.count)
 
@@ -128,7 +128,7 @@
     return tuple(other for other in NAMES if other != name)
 
 
-# Guards against blaming the couriers where the observer itself did not run, on a busy machine.
+# Guards against false reports of repeated checks when the observer is stalled on a busy machine.
 @pytest.mark.usefixtures("fleet")
 def test_audit_of_checks_that_the_observer_read_late_finds_none_repeated(
     endpoints: ThreadedRecordingEndpoints,
@@ -152,7 +152,7 @@
     fleet[killed].kill()
     wait_until_checked_by(endpoints, others(killed))
     fleet[killed].start()
-    fleet.wait_until_all_alive("it is back")
+    fleet.wait_until_all_alive("the node has rejoined")
     wait_until_checking(endpoints, killed)
     assert_none_repeated_or_stale(list(endpoints.health_checks))
 
@@ -164,7 +164,7 @@
     fleet[frozen].send_signal(signal.SIGSTOP)
     wait_until_checked_by(endpoints, others(frozen))
     fleet[frozen].send_signal(signal.SIGCONT)
-    fleet.wait_until_all_alive("it is back")
+    fleet.wait_until_all_alive("the node has rejoined")
     wait_until_checking(endpoints, frozen)
     assert_none_repeated_or_stale(list(endpoints.health_checks))
 
@@ -178,7 +178,7 @@
         fleet.relay.cut(*((cut_off, other) if is_outgoing else (other, cut_off)))
     wait_until_checked_by(endpoints, others(cut_off))
     wait_for(
-        "it knows that it has no lease",
+        "the isolated node has no lease",
         lambda: bool(fleet[cut_off].read_metrics()) and not fleet[cut_off].read_leased_roles(),
     )
     fleet.relay.heal()
@@ -199,11 +199,11 @@
 def test_shared_backoff_of_one_check_holds_messages_and_checks_of_all_nodes(
     fleet: Fleet, endpoints: ThreadedRecordingEndpoints
 ):
-    """A health check is answered with a wait: no courier sends a message or a check before its end."""
+    """No courier sends a message or a check during a Retry-After wait received by one health check."""
     wait_seconds = 3.0
     endpoints.responses["s-3"] = FakeResponse(429, (("X-RateLimit-Wait-Ms", f"{wait_seconds * 1_000:.0f}"),))
     wait_for(
-        "the wait is known to all",
+        "all nodes have the wait",
         lambda: all(fleet[name].read_metrics().get("fleet.waits", 0) for name in NAMES),
     )
     answered_at = checks_since(endpoints, 0.0, "s-3")[-1].received_at_seconds
@@ -213,7 +213,7 @@
     wait_for("the messages come", lambda: sum(call.endpoint == "s-3" for call in endpoints.calls) >= 3)
     messages_at = [call.answered_at_seconds for call in endpoints.calls if call.endpoint == "s-3"]
     checks_at = [check.received_at_seconds for check in checks_since(endpoints, answered_at, "s-3")]
-    # The platform, too, admits calls for 100 ms after the answer; all clocks are of one machine.
+    # The platform also admits calls for 100 ms after the response; all processes use the same clock.
     assert min(messages_at + checks_at) > answered_at + wait_seconds - 0.1
     assert_none_repeated_or_stale(list(endpoints.health_checks))
 
@@ -258,13 +258,13 @@
             for other in others(name):
                 fleet[other].send_signal(signal.SIGHUP)
             fleet[name].start()
-            fleet.wait_until_all_alive("it is back")
+            fleet.wait_until_all_alive("the node has rejoined")
             wait_until_checking(endpoints, name)
     finally:
         stop.set()
         client.join()
     assert len(accepted) > 50
-    # Some may end by a notification: those that their courier kept through its restart, on a slow machine.
+    # On a slow machine, messages restored by a restarted courier may end with a notification.
     wait_for_final_answers(endpoints, accepted)
     assert_none_repeated_or_stale(endpoints.health_checks[earlier_check_count:])
 
@@ -272,7 +272,7 @@
 def test_membership_slow_node_declares_no_healthy_node_gone(
     fleet: Fleet, endpoints: ThreadedRecordingEndpoints
 ):
-    """It runs a sixth of the time, as on a busy core; the others are healthy, and are believed to be."""
+    """A node that runs a sixth of the time, as on a busy core, does not declare healthy nodes gone."""
     slow = "n1"
     logged_lengths = {name: len(fleet[name].read_log()) for name in NAMES}
     started_at = time.monotonic()
@@ -284,7 +284,7 @@
     for name in NAMES:
         new_lines = fleet[name].read_log()[logged_lengths[name] :]
         assert not any(f"fleet: {other} is gone" in new_lines for other in others(slow))
-    fleet.wait_until_all_alive("all know each other")
+    fleet.wait_until_all_alive("all nodes are alive")
     assert_none_repeated_or_stale(list(endpoints.health_checks))
 
 
@@ -298,7 +298,7 @@
 
 @pytest.fixture
 def redelivering_fleet(tmp_path: Path, failing_endpoints: ThreadedRecordingEndpoints) -> Iterator[Fleet]:
-    """A fleet of three, each of which keeps dead letters and redelivers them."""
+    """Provide three couriers that store dead letters and redeliver them."""
     three_couriers = Fleet(
         tmp_path,
         3,
@@ -323,7 +323,7 @@
 def test_shared_redelivery_rate_holds_for_the_fleet_when_lease_holder_is_killed(
     redelivering_fleet: Fleet, failing_endpoints: ThreadedRecordingEndpoints
 ):
-    """Without the leased role each of three couriers would redeliver at the rule's rate."""
+    """Guards against redelivery at the rule's rate by each courier, without the leased role."""
     fleet, endpoints = redelivering_fleet, failing_endpoints
     fleet.start()
     for number in range(36):
@@ -344,6 +344,6 @@
     fleet[lease_holder].kill()
     wait_for("the others redeliver", lambda: len(endpoints.calls) >= 20)
     called_at = [call.answered_at_seconds for call in endpoints.calls]
-    for first_at in called_at:  # tokens of the bucket accrue, and two polls lie between
+    for first_at in called_at:  # allows for tokens of the bucket and two polls
         count = sum(first_at <= at < first_at + 3.0 for at in called_at)
         assert count <= 3.0 * REDELIVERIES_PER_SECOND + 4
--- a/tests/test_fleet_leases.py
+++ b/tests/test_fleet_leases.py
@@ -1,4 +1,4 @@
-"""Leased roles of three real couriers: one holder at a time, through kills, freezes and lost data."""
+"""Tests of leased roles of three real couriers: one holder at a time despite kills, freezes and lost data."""
 
 from __future__ import annotations
 
@@ -27,21 +27,21 @@
 
 
 class Lease(NamedTuple):
-    """Who holds a role's lease, and under which epoch."""
+    """The holder of a role's lease, and the lease's epoch."""
 
     holder: str
     epoch: int
 
 
 def read_leases(fleet: Fleet, names: tuple[str, ...] = NAMES) -> dict[str, Lease]:
-    """Return the leases by role, as some couriers report them one after the other."""
+    """Return the leases by role, as reported by the given couriers in turn."""
     return {
         role: Lease(name, epoch) for name in names for role, epoch in fleet[name].read_leased_roles().items()
     }
 
 
 def settled_leases(fleet: Fleet, names: tuple[str, ...] = NAMES) -> dict[str, Lease]:
-    """Wait until each role has a holder among some couriers, twice the same in a row; return the leases."""
+    """Wait until the given couriers report the same holders of all roles twice; return the leases."""
     leases: dict[str, Lease] = {}
 
     def are_settled() -> bool:
@@ -65,8 +65,8 @@
         if holder == killed:
             assert after[role].holder in others and after[role].epoch > epoch
     fleet[killed].start()
-    fleet.wait_until_all_alive("it is back")
-    wait_for("its roles come back to it", lambda: settled_leases(fleet)["one"].holder == killed)
+    fleet.wait_until_all_alive("the node has rejoined")
+    wait_for("its roles return to it", lambda: settled_leases(fleet)["one"].holder == killed)
 
 
 def test_leases_resumed_holder_has_none_until_renewed_under_a_later_epoch(fleet: Fleet):
@@ -77,13 +77,13 @@
     others = tuple(name for name in NAMES if name != frozen)
     after = settled_leases(fleet, others)
     fleet[frozen].send_signal(signal.SIGCONT)
-    wait_for("it answers", lambda: bool(fleet[frozen].read_metrics()))
-    # Any role that it reports from now on, it holds under an epoch that no other has had.
+    wait_for("the resumed node answers", lambda: bool(fleet[frozen].read_metrics()))
+    # From now on the resumed courier reports roles only under later epochs than other holders had.
     for _ in range(50):
         for role, epoch in fleet[frozen].read_leased_roles().items():
             if before[role].holder == frozen:
                 assert epoch > after[role].epoch > before[role].epoch
-    wait_for("its roles come back to it", lambda: settled_leases(fleet)["one"].holder == frozen)
+    wait_for("its roles return to it", lambda: settled_leases(fleet)["one"].holder == frozen)
 
 
 def test_leases_end_without_quorum_and_are_granted_again_with_one(fleet: Fleet):
@@ -121,7 +121,7 @@
         fleet[name].kill()
     fleet.start()
     after = settled_leases(fleet)
-    assert all(after[role].epoch > before[role].epoch for role in ROLES), "another process, another epoch"
+    assert all(after[role].epoch > before[role].epoch for role in ROLES), "new processes get new epochs"
 
 
 def test_node_without_consensus_store_is_readmitted_and_one_with_another_nodes_is_rejected(fleet: Fleet):
@@ -133,7 +133,7 @@
         path.unlink()
     lost.start()
     wait_for(
-        "it votes again",
+        "the node votes again",
         lambda: (
             lost.read_metrics().get("fleet.agreement.voters") == 3
             and lost.read_log().count("data directory is n2#") == 2
@@ -156,17 +156,18 @@
 
 
 def back_up(fleet: Fleet, name: str, backup: Path) -> None:
-    """Copy a courier's data directory to a backup."""
+    """Copy a courier's data directory to a backup directory."""
     shutil.copytree(fleet[name].data_directory, backup)
 
 
 def restore(fleet: Fleet, name: str, backup: Path) -> None:
-    """Replace a courier's data directory by a backup."""
+    """Replace a courier's data directory with a backup."""
     shutil.rmtree(fleet[name].data_directory)
     shutil.copytree(backup, fleet[name].data_directory)
 
 
-# Guards against a member that forgets what only the leader has heard: its leader tells it, and it ends.
+# Guards against an undetected rollback of acknowledgements that only one other member has received: it sends
+# them to the restored member, which exits.
 def test_data_directory_restored_after_acknowledging_to_one_member_is_rejected_by_it(
     fleet: Fleet, tmp_path: Path
 ):
@@ -174,11 +175,11 @@
     settled_leases(fleet)
     before = fleet["n0"].read_metrics()["fleet.agreement.committed"]
     back_up(fleet, "n1", tmp_path / "backup")
-    fleet["n2"].kill()  # its roles move: of n0 and n1 one leads, and the other acknowledges entries
+    fleet["n2"].kill()  # its roles move: one of n0 and n1 leads, and the other acknowledges entries
     wait_for(
         "n1 has committed entries", lambda: fleet["n1"].read_metrics()["fleet.agreement.committed"] > before
     )
-    fleet["n1"].kill()  # before it announces itself again
+    fleet["n1"].kill()  # before its next announcement
     restore(fleet, "n1", tmp_path / "backup")
     fleet["n1"].start()
     process = fleet["n1"].process
@@ -198,8 +199,8 @@
     wait_for(
         "n1 has committed entries", lambda: fleet["n1"].read_metrics()["fleet.agreement.committed"] > before
     )
-    fleet["n2"].start()  # others reject only what they know of n1: it reports that to who connects
-    fleet.wait_until_all_alive("it is back")
+    fleet["n2"].start()  # n1 reports its progress on connect; others detect a rollback only with it
+    fleet.wait_until_all_alive("the node has rejoined")
     settled_leases(fleet)
     fleet["n1"].kill()
     restore(fleet, "n1", tmp_path / "backup")
@@ -212,6 +213,6 @@
     fleet.execute_action("lose", "n1")
     fleet["n1"].start()
     wait_for(
-        "its roles come back to it",
+        "its roles return to it",
         lambda: "n1" in {lease.holder for lease in settled_leases(fleet).values()},
     )
--- a/tests/test_simulation_auditor.py
+++ b/tests/test_simulation_auditor.py
@@ -145,8 +145,8 @@
 
 
 def exceed_retry_after(patch: pytest.MonkeyPatch) -> None:
-    error_reply = resp.error_reply
-    patch.setattr(resp, "error_reply", lambda text: error_reply(text.replace("BUSY ", "BUSY 9")))
+    encode_error = resp.error_reply
+    patch.setattr(resp, "error_reply", lambda text: encode_error(text.replace("BUSY ", "BUSY 9")))
 
 
 def reply_twice(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -314,7 +314,7 @@
         return engine.in_flight_count > awaiting_count > 0 and engine.held_count >= 8
 
     fleet.wait_until(
-        "n1 has calls in flight, and an attempt that waits for replication", is_busy, step=0.0002
+        "n1 has calls in flight, and an attempt that waits for replication", is_busy, step_seconds=0.0002
     )
     fleet.execute_action(failure, "n1")
     fleet.wait_until(
--- a/tests/test_takeover_steps.py
+++ b/tests/test_takeover_steps.py
@@ -376,7 +376,7 @@
     simulated.fleet.execute_action("kill", "n1")
     for _ in range(2):
         simulated.fleet.wait_until(
-            "n1 has a successor", lambda: bool(simulated.successor_of("n1")), step=0.005
+            "n1 has a successor", lambda: bool(simulated.successor_of("n1")), step_seconds=0.005
         )
         name = simulated.successor_of("n1")
         simulated.fleet.execute_action("kill", name)
--- a/winchspan/cli/dead_letter_format.py
+++ b/winchspan/cli/dead_letter_format.py
@@ -36,7 +36,7 @@
     """Yield lines that describe a message, the cause of its failure and each attempt."""
     failure = message["story"]
     destination = failure["seen"]
-    retry_after = f", to wait {destination['waits']:.0f} ms" if destination["waits"] else ""
+    retry_after = f", Retry-After {destination['waits']:.0f} ms" if destination["waits"] else ""
     yield (
         f"message {message['id']}, number {message['number']}: {message['cls']} "
         f"for destination {message['dest']}"
@@ -47,18 +47,18 @@
     yield f"  key        {message['key'] or '-'}, idempotency key {message['token'] or '-'}"
     yield f"  deadline   {format_time(message['deadline'])}, body of {message['body_bytes']} bytes"
     yield (
-        f"  then       {destination['calls']} of {destination['window']} calls out there, "
+        f"  then       {destination['calls']} of {destination['window']} calls in flight, "
         f"{destination['queue']} waiting, {destination['sick']} of {destination['endpoints']} endpoints sick"
         f"{retry_after}"
     )
     if failure["earlier"]:
-        yield f"  attempts   {failure['earlier']} in lives before, of which no more is known"
+        yield f"  attempts   {failure['earlier']} by previous processes, without details"
     for number, attempt in enumerate(failure["attempts"], failure["earlier"] + 1):
         yield _format_attempt(number, attempt)
 
 
 def _format_attempt(number: int, attempt: AttemptDocument) -> str:
-    retry_after = f", told to wait {attempt['wait']:.0f} ms" if attempt["wait"] else ""
+    retry_after = f", Retry-After {attempt['wait']:.0f} ms" if attempt["wait"] else ""
     return (
         f"  attempt {number}  {format_time(attempt['at'])} to {attempt['endpoint']}: "
         f"{attempt['outcome']} after {attempt['took']:.0f} ms{retry_after}"
--- a/winchspan/cli/dead_letter_source.py
+++ b/winchspan/cli/dead_letter_source.py
@@ -66,7 +66,7 @@
         self._path = path
 
     def query(self, name: str, /, **arguments: JsonValue) -> JsonValue:
-        """Execute a query over a connection of its own; see `DeadLetterSource`."""
+        """Execute a query over a new connection; see `DeadLetterSource`."""
         client = ControlClient(self._path)
         try:
             return client.call(f"undelivered.{name}", **arguments)
--- a/winchspan/cli/undelivered.py
+++ b/winchspan/cli/undelivered.py
@@ -175,7 +175,7 @@
     for entry in log["entries"]:
         click.echo(format_audit_entry(entry))
     if log["head"]:
-        click.echo(f"the trail is whole; its head is {log['head']}")
+        click.echo(f"the audit log is intact; its head is {log['head']}")
 
 
 def _fetch_audit_log(source: DeadLetterSource) -> AuditLogDocument:
--- a/winchspan/consensus/store.py
+++ b/winchspan/consensus/store.py
@@ -178,7 +178,9 @@
             self._compact()
             if not self._has_capacity(data):
                 logger.error(
-                    "consensus store: {} bytes beside {} exceed the limit", len(data), self._file.size_bytes
+                    "consensus store: {} bytes beyond the present {} exceed the limit",
+                    len(data),
+                    self._file.size_bytes,
                 )
                 return False
         try:
--- a/winchspan/experiments/__main__.py
+++ b/winchspan/experiments/__main__.py
@@ -171,7 +171,7 @@
         f"the lowest share of the offered weight is {worst.weight_share:.3f}, with seed {worst.point.seed}"
     )
     for rule in sorted({rule_name(failure.broken_rules[0]) for failure in failures}):
-        failure = next(result for result in failures if result.broken_rules[0].startswith(rule))
+        failure = next(candidate for candidate in failures if candidate.broken_rules[0].startswith(rule))
         _report_shrunk(shrink(failure), rule, seed, output_directory)
     sys.exit(EXIT_RULE_BROKEN if failures else 0)
 
--- a/winchspan/fakes/clients.py
+++ b/winchspan/fakes/clients.py
@@ -21,7 +21,7 @@
 SECOND_MS: Final = 1_000.0
 FINAL_ANSWER_GRACE_MS: Final = 8_000.0  # after the deadline of an accepted message, across a restart
 EARLY_TOLERANCE_MS: Final = 1.0  # a retry counts as early only if it precedes the retry-after by more
-RUDE_RETRY_INTERVAL_MS: Final = 100.0
+FIXED_RETRY_INTERVAL_MS: Final = 100.0  # of clients that ignore the retry-after
 MEAN_TIMER_DELAY_MS: Final = 20.0  # delay of a retry after its due time: client timers never fire early
 KEY_RANGE_SIZE: Final = 1_000_003  # ordering keys per stream, so that streams have disjoint ranges
 UNUSED_DRAW_BITS: Final = 30
@@ -268,7 +268,7 @@
             message.is_abandoned = True
             return
         if message.stream.retry_behaviour is RetryBehaviour.IGNORES_RETRY_AFTER:
-            self._timers.call_at(now + RUDE_RETRY_INTERVAL_MS, partial(self._submit, message))
+            self._timers.call_at(now + FIXED_RETRY_INTERVAL_MS, partial(self._submit, message))
             return
         message.not_before = now + retry_after_ms
         delay_ms = self._timer_delays.expovariate(1 / MEAN_TIMER_DELAY_MS)
--- a/winchspan/membership/membership_view.py
+++ b/winchspan/membership/membership_view.py
@@ -94,7 +94,7 @@
             self._dissemination.discard(name)
             self._outbox.append(
                 NodeStateChanged(
-                    name, None, record.incarnation, record.process_nonce, "it is no member any more"
+                    name, None, record.incarnation, record.process_nonce, "removed from the configuration"
                 )
             )
         for name in sorted(members - self.records.keys()):
@@ -140,7 +140,7 @@
         elif update.name not in self.records:
             self.dropped[DROPPED_UNKNOWN_MEMBER] += 1
         else:
-            self.apply(now, update, f"{update.suspected_by or 'others'} said so")
+            self.apply(now, update, f"{update.suspected_by or 'others'} reported it")
 
     def apply(self, now: float, update: MembershipUpdate, reason: str) -> None:
         """Apply an update that overrides the record; a confirmed suspicion may shorten the timeout."""
--- a/winchspan/membership/swim.py
+++ b/winchspan/membership/swim.py
@@ -171,7 +171,7 @@
             return []
         state = NodeState.LEFT if datagram.is_leaving else NodeState.ALIVE
         update = MembershipUpdate(datagram.source, state, datagram.incarnation, datagram.process_nonce)
-        self._view.apply(now, update, "it says so")
+        self._view.apply(now, update, "the node reported it")
         for piggybacked in datagram.updates[:MAX_PIGGYBACKED_UPDATES]:
             self._view.handle_update(now, piggybacked)
         match datagram.body:
--- a/winchspan/simulation/__main__.py
+++ b/winchspan/simulation/__main__.py
@@ -99,7 +99,7 @@
 @click.option(
     "--operator",
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
-    help="operator's file for the couriers; all its features are off by default",
+    help="operator's file for the couriers; without it all its features are off",
 )
 @click.option(
     "--latency",
--- a/winchspan/simulation/cluster.py
+++ b/winchspan/simulation/cluster.py
@@ -190,7 +190,7 @@
         self.network.links.heal_all()
 
     def execute_action(self, action: str, name: str) -> None:
-        """Apply a fault or its repair to a member (`winchspan.fakes.faults.ACTS`)."""
+        """Apply a fault or its repair to a member (`winchspan.fakes.faults.ACTIONS`)."""
         member = self.members[name]
         actions: dict[str, Callable[[], None]] = {
             "kill": member.kill,
