--- a/examples/storms.sexp
+++ b/examples/storms.sexp
@@ -1,4 +1,4 @@
-; An operator's file that switches the governor of retry storms on. The schema: docs/operators/operator.md
+; An operator's file that enables overload control. The schema: docs/operators/operator.md
 (storms
   (on yes)
   (words yes)                  ; -BUSY 1234 partner 7 does not answer, come back in 1.2 s
--- a/examples/submit.py
+++ b/examples/submit.py
@@ -1,4 +1,4 @@
-"""Hands one message in: `python examples/submit.py HOST:PORT CLASS DEST BODY [KEY]`."""
+"""Submits one message: `python examples/submit.py HOST:PORT CLASS DEST BODY [KEY]`."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 def encode_submit(
     class_name: str, destination: str, body: str, key: str = "0" * 16, deadline_ms: int = 5_000
 ) -> bytes:
-    """A SUBMIT as an array of bulk strings."""
+    """Return a SUBMIT command as a RESP array of bulk strings."""
     attributes = f"c={class_name},d={deadline_ms},k={secrets.token_hex(8)},dest={destination}"
     arguments = [b"SUBMIT", key.encode(), secrets.token_hex(8).encode(), attributes.encode(), body.encode()]
     return b"*%d\r\n" % len(arguments) + b"".join(
@@ -19,7 +19,7 @@
 
 
 def main() -> int:
-    """Send it and print the answer."""
+    """Send the message, and print the reply."""
     if len(sys.argv) not in (5, 6):
         print(__doc__, file=sys.stderr)
         return 2
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,7 +1,8 @@
-"""A toy partner and discovery in one: `python examples/toy_server.py [PORT]`.
+"""A toy partner and discovery in one server: `python examples/toy_server.py [PORT]`.
 
-It lists itself as the one endpoint of destination 7, and as one of 8 that drains, answers every call with
-200, and prints each delivery and each notice as a line. It is there to try a courier by hand.
+The server lists itself as the only endpoint of destination 7, and as a draining endpoint of destination 8. It
+answers each call with 200, and prints each delivery and each notification as a line. Use it to try a courier
+by hand.
 """
 
 from __future__ import annotations
@@ -15,16 +16,16 @@
 
 
 class ToyHandler(BaseHTTPRequestHandler):
-    """One connection to the toy."""
+    """Handles one connection to the toy server."""
 
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
 
     def log_message(self, format: str, *args: object) -> None:
-        """Keep quiet: only deliveries and notices are printed."""
+        """Suppress the log: only deliveries and notifications are printed."""
 
     def respond(self, status: int, body: bytes = b"") -> None:
-        """Answer with a body of known length; a 204 has none."""
+        """Send a response with a body of known length; a 204 has no body."""
         self.send_response(status)
         if status != 204:
             self.send_header("Content-Length", str(len(body)))
@@ -32,7 +33,7 @@
         self.wfile.write(body)
 
     def endpoint_list(self) -> bytes:
-        """The list: this server is the only endpoint that takes calls."""
+        """Return the list, in which this server is the only endpoint in service."""
         host, port = self.connection.getsockname()[:2]
         entry = {
             "host": "s-toy",
@@ -48,7 +49,7 @@
         return json.dumps({"seq": 1, "whole": True, "hosts": [entry, leaving]}).encode()
 
     def do_GET(self) -> None:
-        """Discovery: the list, or a watch that stays open."""
+        """Serve discovery: the list, or a watch that stays open."""
         path, _, query = self.path.partition("?")
         if path != "/api/targets":
             self.respond(404)
@@ -68,7 +69,7 @@
                 self.close_connection = True
 
     def do_POST(self) -> None:
-        """Deliveries and notices."""
+        """Handle deliveries and notifications."""
         body = self.rfile.read(int(self.headers.get("Content-Length", "0")))
         if self.path == "/hook":
             print("delivered", self.headers["X-Request-Id"], body.decode("utf-8", "replace"), flush=True)
