--- a/winchspan/cluster/cluster_component.py
+++ b/winchspan/cluster/cluster_component.py
@@ -78,11 +78,7 @@
 
             factory = ClusterServiceFactory(node, operator, delivery)
             ports = ConsensusPorts(
-                delivery.journal,
-                delivery.connections,
-                self._live_nodes,
-                self._find_reached_by_others_only,
-                abort,
+                delivery.journal, delivery.connections, self._live_nodes, self._reached_by_others_only, abort
             )
             self._services = factory.create(config, members, secret, ports)
         self._transport = DatagramTransport(members, secret, self._on_datagram)
@@ -244,7 +240,7 @@
             nodes[self._swim.node_name] = self._swim.process_nonce
         return nodes
 
-    def _find_reached_by_others_only(self, out_of_contact: set[str]) -> list[str]:
+    def _reached_by_others_only(self, out_of_contact: set[str]) -> list[str]:
         """Probe members that are out of contact with this one; return those that only other members reach."""
         now = self._node.clock.now()
         reached_by_others_only = [
